--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -437,7 +437,9 @@
     void carry(forward::ReportUse& use)
     {
         const auto& report = use.report;
-        tellControllers([&report](PeerId to) { return QuotaReport { report.uses, report.teller == to, report.asksForAll, report.told }; });
+        tellControllers([&report](PeerId to) {
+            return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.told };
+        });
     }
 
     void tellControllers(const Message& message)
@@ -526,7 +528,7 @@
                 auto state = announcement.state == ReplicaState::Draining ? "draining" : isAvoided ? "ejected" : "in-use";
                 list.push_back({ { "id", id }, { "service", announcement.service }, { "replica", id },
                     { "started_unix_ms", announcement.start.value() }, { "zone", announcement.zone }, { "kind", nameOf(announcement.kind) },
-                    { "state", state }, { "heard_ms", (now - entry.heardAt) / 1ms }, { "failing", load.failing },
+                    { "state", state }, { "heard_ms", (now - entry.lastHeardAt) / 1ms }, { "failing", load.failing },
                     { "mean_seconds", load.meanSeconds },
                     { "load",
                         { { "slots", announcement.slots }, { "occupied", load.calls }, { "queued", 0 }, { "tokens", load.tokens } } } });
--- a/src/process/Registrar.cpp
+++ b/src/process/Registrar.cpp
@@ -51,7 +51,7 @@
 
 void Registrar::peerDown(PeerId peer)
 {
-    boost::asio::post(m_strand, [this, peer] { m_follower.gone(peer); });
+    boost::asio::post(m_strand, [this, peer] { m_follower.disconnected(peer); });
 }
 
 void Registrar::receive(PeerId peer, const Message& message)
@@ -65,7 +65,7 @@
             changeStage(*change);
         } else if (const auto* heartbeat = std::get_if<RegistryHeartbeat>(&message)) {
             m_registry.renew(*heartbeat, currentInstant());
-            m_follower.told(peer, heartbeat->digest, heartbeat->known);
+            m_follower.digestReceived(peer, heartbeat->digest, heartbeat->known);
             askIfNeeded();
         } else if (std::holds_alternative<RegistryRequest>(message)) {
             m_hub.send(peer, m_registry.list(currentInstant()));
@@ -80,7 +80,7 @@
 /// start of all controllers would tell each replica to each gateway as often as there are controllers.
 void Registrar::takeList(PeerId peer, const RegistryList& list)
 {
-    m_follower.listed(peer);
+    m_follower.listReceived(peer);
     for (const auto& announced : list.known) {
         bool takesWorkAway = announced.announcement.state == ReplicaState::Draining;
         if (note(announced.announcement, announced.age) && takesWorkAway)
@@ -97,7 +97,7 @@
 void Registrar::askIfNeeded()
 {
     auto now = currentInstant();
-    if (auto peer = m_follower.nextToAsk(m_registry.digest(), now))
+    if (auto peer = m_follower.nextPeerToQuery(m_registry.digest(), now))
         m_hub.send(*peer, RegistryRequest { m_registry.digest() });
     if (m_follower.nextWake() == Instant::max())
         return;
@@ -179,7 +179,7 @@
 
 RegistryHeartbeat Registrar::heartbeatFor(Role role, std::uint32_t gateways) const
 {
-    auto names = role == Role::Gateway ? ReplicaRegistry::Names::Unrenewed : ReplicaRegistry::Names::All;
+    auto names = role == Role::Gateway ? ReplicaRegistry::HeartbeatScope::Stale : ReplicaRegistry::HeartbeatScope::All;
     auto message = m_registry.heartbeat(names, currentInstant());
     message.gateways = gateways;
     return message;
@@ -187,7 +187,7 @@
 
 void Registrar::sendHeartbeats()
 {
-    m_registry.forgetOld(currentInstant());
+    m_registry.removeExpired(currentInstant());
     noteChange();
     auto peers = m_hub.peers();
     auto isGateway = [](const Hello& peer) { return peer.role == Role::Gateway; };
--- a/src/request/engine/StageOrders.cpp
+++ b/src/request/engine/StageOrders.cpp
@@ -99,7 +99,7 @@
         if (!isUsable)
             continue;
         bool isChanging = entry.isChanging(now);
-        auto kind = isChanging ? *entry.changesTo : a.kind;
+        auto kind = isChanging ? *entry.pendingStage : a.kind;
         if (!isChanging && !m_engineRestsUntil.contains(a.run()))
             pool.engines.push_back({ a.run(), a.address, a.zone, kind });
         else
--- a/src/request/forward/ForwardCrashes.cpp
+++ b/src/request/forward/ForwardCrashes.cpp
@@ -33,15 +33,18 @@
 
 bool ForwardLogic::crashesReplicas(const Flow& flow, Instant now) const
 {
-    return m_crashes.standing(flow.ask.fingerprint, now) == CrashTracker::Standing::Refused;
+    return m_crashes.statusOf(flow.ask.fingerprint, now) == CrashTracker::Status::Refused;
 }
 
 /// It may have run, under another id, so this is no "not run"; nor is there a time at which to come back.
-void ForwardLogic::refuseAsCrashing(Flow& flow, Instant now) { refuse(flow, ResultCode::CrashesReplicas, CrashTracker::whyRefused, now); }
+void ForwardLogic::refuseAsCrashing(Flow& flow, Instant now)
+{
+    refuse(flow, ResultCode::CrashesReplicas, CrashTracker::refusalReason, now);
+}
 
 void ForwardLogic::noteIfRefused(RequestFingerprint fingerprint, Instant now)
 {
-    if (m_crashes.standing(fingerprint, now) != CrashTracker::Standing::Refused || !m_newlyRefused.insert(fingerprint).second)
+    if (m_crashes.statusOf(fingerprint, now) != CrashTracker::Status::Refused || !m_newlyRefused.insert(fingerprint).second)
         return;
     m_effects.push_back(Note { EventCode::RequestCrashesReplicas, {}, m_crashes.text(fingerprint) });
 }
@@ -66,7 +69,7 @@
 void ForwardLogic::on(const ControllerUp& event, Instant now)
 {
     // The controller may have started again and know nothing.
-    tellCrashes(event.controller, m_crashes.describeAll(CrashTracker::Standing::Unknown, now));
+    tellCrashes(event.controller, m_crashes.describeAll(CrashTracker::Status::Unknown, now));
 }
 
 void ForwardLogic::on(const CrashesTold& event, Instant now)
--- a/src/request/forward/ForwardEngines.cpp
+++ b/src/request/forward/ForwardEngines.cpp
@@ -11,15 +11,15 @@
 
 void ForwardLogic::on(const RegistryTold& event, Instant now)
 {
-    m_quotas.heard(event.controller, now);
+    m_quotas.noteContact(event.controller, now);
     on(event.heartbeat, now);
-    m_follower.told(event.controller, event.heartbeat.digest, event.heartbeat.known);
+    m_follower.digestReceived(event.controller, event.heartbeat.digest, event.heartbeat.known);
     askForRegistry(now);
 }
 
 void ForwardLogic::on(const RegistryListed& event, Instant now)
 {
-    m_follower.listed(event.controller);
+    m_follower.listReceived(event.controller);
     for (const auto& announced : event.list.known)
         take(announced, now);
     for (const auto& withdrawn : event.list.ended)
@@ -33,15 +33,15 @@
 void ForwardLogic::askForRegistry(Instant now)
 {
     auto digest = m_replicas.registry().digest();
-    if (auto controller = m_follower.nextToAsk(digest, now))
+    if (auto controller = m_follower.nextPeerToQuery(digest, now))
         m_effects.push_back(AskRegistry { *controller, { digest } });
 }
 
 void ForwardLogic::on(const PeerGone& event, Instant)
 {
     m_replicas.rooms().forget(event.peer);
-    m_follower.gone(event.peer);
-    m_quotas.gone(event.peer);
+    m_follower.disconnected(event.peer);
+    m_quotas.disconnected(event.peer);
 }
 
 // --- Which engines are used -------------------------------------------------------------------------------------
--- a/src/request/forward/ForwardLogic.cpp
+++ b/src/request/forward/ForwardLogic.cpp
@@ -146,7 +146,7 @@
     m_budget.setGateways(event.gateways, now);
     m_quotas.setGateways(m_budget.gateways());
     m_replicas.registry().renew(event, now);
-    m_replicas.registry().forgetOld(now);
+    m_replicas.registry().removeExpired(now);
     m_replicas.forgetEnded();
     m_crashes.dropRefuted(m_replicas.registry(), now);
     chooseEnginesIfDue(now);
--- a/src/request/forward/ForwardLogic.h
+++ b/src/request/forward/ForwardLogic.h
@@ -77,7 +77,7 @@
     [[nodiscard]] std::size_t requests() const { return m_flows.size(); }
     [[nodiscard]] const ReplicaTable& replicas() const { return m_replicas; }
     /// What may still be sent beyond first sends, by service, in this window.
-    [[nodiscard]] std::map<std::string, double> retryBudget(Instant now) { return m_budget.leftByService(now); }
+    [[nodiscard]] std::map<std::string, double> retryBudget(Instant now) { return m_budget.remainingByService(now); }
     [[nodiscard]] AccountQuotas& quotas() { return m_quotas; }
     /// Requests that showed a key of no account.
     [[nodiscard]] std::uint64_t refusedKeys() const { return m_refusedKeys; }
--- a/src/request/forward/ForwardPlaces.cpp
+++ b/src/request/forward/ForwardPlaces.cpp
@@ -199,7 +199,7 @@
     need.maxCalls = callLimit(rule);
     // A prefill that is refused counts as a call beyond the first. After a restart of the whole site many replicas are remembered that have
     // started again under other ids; each gateway learns that of each of them by a refusal, and hundreds of requests by two.
-    need.skipsOverdue = m_budget.left(flow.service, now) < 1;
+    need.skipsOverdue = m_budget.remaining(flow.service, now) < 1;
     auto choice = m_replicas.choose(need, flow.triedReaders, now);
     if (!choice)
         return false;
@@ -244,7 +244,7 @@
     // instead left out the second of two refusals, and each first one while there was no budget for a second.
     if (event.wasNotAccepted)
         m_budget.charge(flow->service, now);
-    bool isWithinBudget = m_budget.left(flow->service, now) >= 0;
+    bool isWithinBudget = m_budget.remaining(flow->service, now) >= 0;
     prefillElsewhere(*flow, event.wasNotAccepted && isWithinBudget && flow->triedReaders.size() < prefillsAtMost, now);
 }
 
--- a/src/request/sidecar/GatewayContext.cpp
+++ b/src/request/sidecar/GatewayContext.cpp
@@ -117,12 +117,12 @@
 
 bool GatewayContext::crashesReplicas(const GatewayRequest& request, Instant now) const
 {
-    return safeguards.refusesCrashingRequests && crashes.standing(request.fingerprint, now) == CrashTracker::Standing::Refused;
+    return safeguards.refusesCrashingRequests && crashes.statusOf(request.fingerprint, now) == CrashTracker::Status::Refused;
 }
 
 void GatewayContext::refuseAsCrashing(GatewayRequest& request, Instant now)
 {
-    giveUp(request, ResultCode::CrashesReplicas, CrashTracker::whyRefused, now);
+    giveUp(request, ResultCode::CrashesReplicas, CrashTracker::refusalReason, now);
 }
 
 void GatewayContext::noteServed(const GatewayRequest& request, Instant now)
--- a/src/request/sidecar/GatewayLogic.cpp
+++ b/src/request/sidecar/GatewayLogic.cpp
@@ -60,7 +60,7 @@
     auto& request = m_context.requests[event.request];
     request.id = event.request;
     request.caller = caller;
-    request.fingerprint = ofAccount(fingerprintOf({ caller.method, {}, caller.target, caller.body }), caller.account);
+    request.fingerprint = fingerprintForAccount(fingerprintOf({ caller.method, {}, caller.target, caller.body }), caller.account);
     request.rules = rules.value();
     bool isUrgent = request.rules.urgent == UrgentRule::Always || (request.rules.urgent == UrgentRule::OnRequest && caller.asksUrgent);
     request.priority = isUrgent ? Priority::Urgent : Priority::Normal;
@@ -146,7 +146,7 @@
         m_context.controllers.onControllerUp(event.peer.id);
         m_context.sendAll(m_context.follower.onControllerUp(event.peer.id, now));
         // It may have started again and know nothing.
-        if (auto report = m_context.crashes.describeAll(CrashTracker::Standing::Unknown, now); !report.isEmpty())
+        if (auto report = m_context.crashes.describeAll(CrashTracker::Status::Unknown, now); !report.isEmpty())
             m_context.send(event.peer.id, std::move(report));
     }
 }
@@ -328,7 +328,7 @@
             withFlow(it->second, [&](auto& flow) { flow.tick(it->second, now); });
     }
     if (now >= m_nextForget) {
-        m_context.crashes.forgetOld(now);
+        m_context.crashes.removeExpired(now);
         m_nextForget = now + forgetEvery;
     }
     m_nextTick = now + (m_context.controllers.empty() ? tickEvery : busyTick);
--- a/test/correctness/AccountTest.cpp
+++ b/test/correctness/AccountTest.cpp
@@ -95,7 +95,7 @@
 TEST_CASE("a gateway that hears no controller does not say of a key that nobody holds it")
 {
     Site site;
-    site.now += AccountQuotas::contactLasts + 1ms;
+    site.now += AccountQuotas::contactTimeout + 1ms;
     site.askWith("/once/x", "k4");
     CHECK(site.only<Refuse>().error.code == ResultCode::ConfigUnavailable);
     CHECK(site.only<Refuse>().error.retryAfter);
@@ -159,9 +159,9 @@
         return told.empty() ? RequestFingerprint() : told.front().report.crashes.front().request;
     };
     auto first = crashOf("k1");
-    CHECK((first == ofAccount(print, "desk")));
+    CHECK((first == fingerprintForAccount(print, "desk")));
     site.replica("r2").replica("r3");
-    CHECK((crashOf("k3") == ofAccount(print, "gate")));
+    CHECK((crashOf("k3") == fingerprintForAccount(print, "gate")));
     CHECK((crashOf("k2") == first));
 }
 
@@ -334,18 +334,18 @@
 {
     LimitedSite site;
     site.hear();
-    auto left = [&site] { return site.logic().quotas().accounts().at("desk").left(site.now); };
-    auto before = left();
+    auto remaining = [&site] { return site.logic().quotas().accounts().at("desk").remaining(site.now); };
+    auto before = remaining();
     auto take = (site.ask("/stream/x", 14s, {}, "k1"), site.only<TakePlace>());
-    CHECK(left() == doctest::Approx(before - 5800));
+    CHECK(remaining() == doctest::Approx(before - 5800));
     site.post(PlaceRefused { take.id, take.attempt, true });
     site.post(CallerGone { take.id });
-    CHECK(left() == doctest::Approx(before));
+    CHECK(remaining() == doctest::Approx(before));
     site.ask("/once/x", 600ms, {}, "k1");
     auto send = site.only<Send>();
     site.post(CallFailed { send.id, send.attempt, true, "reset" });
     CHECK(site.only<Refuse>().error.code == ResultCode::UpstreamFailed);
-    CHECK(left() == doctest::Approx(before - 200));
+    CHECK(remaining() == doctest::Approx(before - 200));
 }
 
 TEST_CASE("what is used is reported to all controllers, under the account's hash and with its limit")
@@ -353,9 +353,9 @@
     LimitedSite site;
     site.hear();
     site.ask("/stream/x", 14s, {}, "k1");
-    site.wait(AccountQuotas::reportSoon);
+    site.wait(AccountQuotas::promptReportDelay);
     auto report = site.only<ReportUse>().report;
-    CHECK((report.teller == LimitedSite::controller));
+    CHECK((report.totalsSource == LimitedSite::controller));
     REQUIRE(report.uses.size() == 1);
     CHECK((report.uses[0].account == accountId("desk")));
     CHECK(report.uses[0].amount == doctest::Approx(5800));
--- a/test/correctness/CrashTest.cpp
+++ b/test/correctness/CrashTest.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-using Standing = CrashTracker::Standing;
+using Status = CrashTracker::Status;
 
 constexpr Instant start { std::chrono::hours(1) };
 constexpr RequestFingerprint request { 7 };
@@ -46,7 +46,7 @@
 
 TEST_CASE("a request is the same under any id, and another one for any other account, path or body")
 {
-    auto print = [](const RequestParts& parts, std::string_view account) { return ofAccount(fingerprintOf(parts), account); };
+    auto print = [](const RequestParts& parts, std::string_view account) { return fingerprintForAccount(fingerprintOf(parts), account); };
     auto fingerprint = print({ "POST", "desk.example", "/a/x", "body" }, "desk-1");
     CHECK((fingerprint == print({ "POST", "desk.example", "/a/x", "body" }, "desk-1")));
     CHECK((fingerprint != print({ "PUT", "desk.example", "/a/x", "body" }, "desk-1")));
@@ -65,12 +65,12 @@
     // request to whoever took it, and nobody counted the crashes.
     CrashTracker tracker;
     crashAfterEach(tracker, 1);
-    CHECK(tracker.standing(request, start) == Standing::Unknown);
+    CHECK(tracker.statusOf(request, start) == Status::Unknown);
     crashAfterEach(tracker, 2);
-    CHECK(tracker.standing(request, start + 1s) == Standing::Watched);
+    CHECK(tracker.statusOf(request, start + 1s) == Status::Watched);
     crashAfterEach(tracker, 3);
-    CHECK(tracker.standing(request, afterThree) == Standing::Refused);
-    CHECK(tracker.standing(RequestFingerprint(8), afterThree) == Standing::Unknown);
+    CHECK(tracker.statusOf(request, afterThree) == Status::Refused);
+    CHECK(tracker.statusOf(RequestFingerprint(8), afterThree) == Status::Unknown);
     CHECK(tracker.text(request) == "fingerprint 0000000000000007 has crashed i-0 i-1 i-2");
 }
 
@@ -79,7 +79,7 @@
     CrashTracker tracker;
     for (int i = 0; i < 9; ++i)
         CHECK(tracker.noteCrash(request, run(1), 100ms, start + i * 1s).crashes.size() == (i == 0 ? 1 : 0));
-    CHECK(tracker.standing(request, start + 9s) == Standing::Unknown);
+    CHECK(tracker.statusOf(request, start + 9s) == Status::Unknown);
 }
 
 TEST_CASE("a caller whose requests ran at a whole rack that lost its power is served")
@@ -90,10 +90,10 @@
     CrashTracker tracker;
     for (int i = 0; i < 4; ++i)
         tracker.noteCrash(request, run(i), 300ms, start + i * 40ms);
-    CHECK(tracker.standing(request, start + 1s) == Standing::Unknown);
+    CHECK(tracker.statusOf(request, start + 1s) == Status::Unknown);
     // It comes again, and the replica that it comes to ends too: that may be the request's doing.
     tracker.noteCrash(request, run(9), 100ms, start + 2s);
-    CHECK(tracker.standing(request, start + 2s) == Standing::Watched);
+    CHECK(tracker.statusOf(request, start + 2s) == Status::Watched);
 }
 
 TEST_CASE("a replica that is heard of again has not ended")
@@ -106,14 +106,14 @@
         registry.announce(announcement(i, 1), 0s, start - 1s);
     crashAfterEach(tracker, 3);
     tracker.dropRefuted(registry, afterThree);
-    CHECK(tracker.standing(request, afterThree) == Standing::Refused);
+    CHECK(tracker.statusOf(request, afterThree) == Status::Refused);
     // Heard of just after its end: it may have been said before.
     registry.announce(announcement(2, 2), 0s, afterThree + 500ms);
     tracker.dropRefuted(registry, afterThree + 500ms);
-    CHECK(tracker.standing(request, afterThree + 500ms) == Standing::Refused);
+    CHECK(tracker.statusOf(request, afterThree + 500ms) == Status::Refused);
     registry.announce(announcement(2, 3), 0s, afterThree + 1700ms);
     tracker.dropRefuted(registry, afterThree + 1700ms);
-    CHECK(tracker.standing(request, afterThree + 1700ms) == Standing::Watched);
+    CHECK(tracker.statusOf(request, afterThree + 1700ms) == Status::Watched);
 }
 
 TEST_CASE("a replica that starts again under its id is another run, and does not clear what ended its former one")
@@ -127,20 +127,20 @@
         registry.announce(again, 0s, afterThree + 5s);
     }
     tracker.dropRefuted(registry, afterThree + 5s);
-    CHECK(tracker.standing(request, afterThree + 5s) == Standing::Refused);
+    CHECK(tracker.statusOf(request, afterThree + 5s) == Status::Refused);
 }
 
 TEST_CASE("a whole answer clears what ended before it, at every process")
 {
     CrashTracker tracker;
     crashAfterEach(tracker, 2);
-    auto before = tracker.describeAll(Standing::Unknown, start + 1s);
+    auto before = tracker.describeAll(Status::Unknown, start + 1s);
     CHECK(tracker.noteServed(request, start + 1500ms).served.size() == 1);
     CHECK(tracker.noteServed(request, start + 1600ms).isEmpty());
     // Others that have not heard of the answer tell the crashes again.
     CHECK(tracker.take(before, start + 1s).isEmpty());
     tracker.noteCrash(request, run(5), 100ms, start + 3s);
-    CHECK(tracker.standing(request, start + 3s) == Standing::Unknown);
+    CHECK(tracker.statusOf(request, start + 3s) == Status::Unknown);
     CHECK(tracker.noteServed(RequestFingerprint(8), start).isEmpty());
     CHECK(tracker.size() == 1);
 }
@@ -152,36 +152,36 @@
     // In progress when it was refused.
     tracker.noteCrash(request, run(10), 100ms, afterThree + 1s);
     auto again = afterThree + CrashTracker::firstRefusal;
-    CHECK(tracker.standing(request, again - 1us) == Standing::Refused);
-    CHECK(tracker.standing(request, again) == Standing::Watched);
+    CHECK(tracker.statusOf(request, again - 1us) == Status::Refused);
+    CHECK(tracker.statusOf(request, again) == Status::Watched);
     tracker.noteCrash(request, run(11), 100ms, again + 1s);
-    CHECK(tracker.standing(request, again + 1s + 2 * CrashTracker::firstRefusal - 1us) == Standing::Refused);
-    CHECK(tracker.standing(request, again + 1s + 2 * CrashTracker::firstRefusal) == Standing::Watched);
+    CHECK(tracker.statusOf(request, again + 1s + 2 * CrashTracker::firstRefusal - 1us) == Status::Refused);
+    CHECK(tracker.statusOf(request, again + 1s + 2 * CrashTracker::firstRefusal) == Status::Watched);
 }
 
 TEST_CASE("what is known of a request is forgotten in time, and bounded in number")
 {
     CrashTracker tracker;
     crashAfterEach(tracker, 1);
-    tracker.forgetOld(start + CrashTracker::rememberFor);
+    tracker.removeExpired(start + CrashTracker::retentionPeriod);
     CHECK(tracker.size() == 1);
-    tracker.forgetOld(start + CrashTracker::rememberFor + 1us);
+    tracker.removeExpired(start + CrashTracker::retentionPeriod + 1us);
     CHECK(tracker.size() == 0);
-    for (std::uint64_t i = 0; i < 2 * CrashTracker::mostRequests; ++i)
+    for (std::uint64_t i = 0; i < 2 * CrashTracker::maxRequests; ++i)
         tracker.noteCrash(RequestFingerprint(i + 100), run(1), 100ms, start + i * 1us);
-    CHECK(tracker.size() <= CrashTracker::mostRequests);
-    CHECK(tracker.size() > CrashTracker::mostRequests / 2);
+    CHECK(tracker.size() <= CrashTracker::maxRequests);
+    CHECK(tracker.size() > CrashTracker::maxRequests / 2);
     // The newest are still known.
-    CHECK(tracker.noteCrash(RequestFingerprint(2 * CrashTracker::mostRequests + 99), run(1), 100ms, start + 1s).isEmpty());
+    CHECK(tracker.noteCrash(RequestFingerprint(2 * CrashTracker::maxRequests + 99), run(1), 100ms, start + 1s).isEmpty());
 }
 
 TEST_CASE("a refused request stays known while those that end by chance come and go")
 {
     CrashTracker tracker;
     crashAfterEach(tracker, 3);
-    for (std::uint64_t i = 0; i < 2 * CrashTracker::mostRequests; ++i)
+    for (std::uint64_t i = 0; i < 2 * CrashTracker::maxRequests; ++i)
         tracker.noteCrash(RequestFingerprint(i + 100), run(1), 100ms, afterThree + 1s + i * 1us);
-    CHECK(tracker.standing(request, afterThree + 2s) == Standing::Refused);
+    CHECK(tracker.statusOf(request, afterThree + 2s) == Status::Refused);
 }
 
 TEST_CASE("processes that were told the same crashes, in any order and more than once, judge alike")
@@ -205,12 +205,12 @@
             other.take(reports[i], start + 30s);
         for (const auto& report : reports)
             other.take(report, start + 30s);
-        RC_ASSERT(one.standing(request, start + 30s) == other.standing(request, start + 30s));
+        RC_ASSERT(one.statusOf(request, start + 30s) == other.statusOf(request, start + 30s));
         // Passed on to a third, it says the same, and is no news to who knows it.
         CrashTracker third;
-        third.take(one.describeAll(Standing::Unknown, start + 30s), start + 30s);
-        RC_ASSERT(third.standing(request, start + 30s) == one.standing(request, start + 30s));
-        RC_ASSERT(other.take(one.describeAll(Standing::Unknown, start + 30s), start + 30s).isEmpty());
+        third.take(one.describeAll(Status::Unknown, start + 30s), start + 30s);
+        RC_ASSERT(third.statusOf(request, start + 30s) == one.statusOf(request, start + 30s));
+        RC_ASSERT(other.take(one.describeAll(Status::Unknown, start + 30s), start + 30s).isEmpty());
     }));
 }
 
@@ -237,7 +237,7 @@
     auto told = other.take(third.controllers, start + 2s).gateways;
     CrashTracker gateway;
     gateway.take(told, start + 2s);
-    CHECK(gateway.standing(request, start + 2s) == Standing::Refused);
+    CHECK(gateway.statusOf(request, start + 2s) == Status::Refused);
     // Told again, it is no news to anyone.
     CHECK(one.take(third.controllers, start + 2s).controllers.isEmpty());
 }
@@ -252,8 +252,8 @@
     auto told = exchange.take(report, start);
     CHECK(told.controllers.crashes.size() == 60);
     CHECK(told.gateways.isEmpty());
-    CHECK(exchange.forPeer(Role::Controller, start).crashes.size() == 60);
-    CHECK(exchange.forPeer(Role::Gateway, start).isEmpty());
+    CHECK(exchange.snapshotFor(Role::Controller, start).crashes.size() == 60);
+    CHECK(exchange.snapshotFor(Role::Gateway, start).isEmpty());
 }
 
 TEST_CASE("what controllers tell each other of a request comes to an end")
--- a/test/correctness/DoorTest.cpp
+++ b/test/correctness/DoorTest.cpp
@@ -91,8 +91,8 @@
     CHECK(RegistryBounds::refuses(registry, "unknown"));
     CHECK(!RegistryBounds::refuses(registry, "good"));
     // There is room again once the junk is no longer renewed.
-    now += ReplicaRegistry::forgetAfter + 1s;
-    registry.forgetOld(now);
+    now += ReplicaRegistry::expiredAfter + 1s;
+    registry.removeExpired(now);
     CHECK(announce(replica("late")));
 }
 
--- a/test/correctness/QuotaTest.cpp
+++ b/test/correctness/QuotaTest.cpp
@@ -134,9 +134,9 @@
 {
     Fleet fleet(10, 1);
     fleet.pass(3s);
-    for (std::size_t heard = 10; heard > 0; --heard) {
+    for (std::size_t reachable = 10; reachable > 0; --reachable) {
         fleet.load(rule.perSecond * 2, 6s);
-        fleet.cut(heard - 1, 1);
+        fleet.cut(reachable - 1, 1);
     }
     fleet.load(rule.perSecond * 6, 12s);
     CHECK(fleet.mostInWindow() <= fleet.bound());
@@ -248,7 +248,7 @@
     }
     void hear(Instant now)
     {
-        quotas.heard(PeerId(500), now);
+        quotas.noteContact(PeerId(500), now);
         quotas.report(now);
         quotas.take(PeerId(500), { {}, true }, now);
     }
@@ -277,11 +277,11 @@
 {
     Single one;
     auto& quota = one.quotas.accounts().at("desk");
-    auto before = quota.left(later);
+    auto before = quota.remaining(later);
     one.admit(3300, later);
-    CHECK(quota.left(later) == doctest::Approx(before - 3300));
-    one.quotas.giveBack("desk", 3300, later);
-    CHECK(quota.left(later) == doctest::Approx(before));
+    CHECK(quota.remaining(later) == doctest::Approx(before - 3300));
+    one.quotas.refund("desk", 3300, later);
+    CHECK(quota.remaining(later) == doctest::Approx(before));
     CHECK(quota.unreported() == 0);
 }
 
@@ -300,14 +300,14 @@
 TEST_CASE("another controller's totals hold the same use once more, and are passed over")
 {
     Single one;
-    one.quotas.heard(PeerId(501), later);
+    one.quotas.noteContact(PeerId(501), later);
     auto& quota = one.quotas.accounts().at("desk");
-    auto before = quota.left(later);
+    auto before = quota.remaining(later);
     QuotaTotals totals { { { accountId("desk"), 1000, 5000, 0, true } } };
     one.quotas.take(PeerId(501), totals, later);
-    CHECK(quota.left(later) == doctest::Approx(before));
+    CHECK(quota.remaining(later) == doctest::Approx(before));
     one.quotas.take(PeerId(500), totals, later);
-    CHECK(quota.left(later) == doctest::Approx(before - 1000));
+    CHECK(quota.remaining(later) == doctest::Approx(before - 1000));
 }
 
 TEST_CASE("an account that is no longer busy when a gateway changes its controller is not waited for")
@@ -315,14 +315,14 @@
     Single one;
     QuotaTotals busy { { { accountId("desk"), 1000, 5000, 0, true } } };
     one.quotas.take(PeerId(500), busy, later);
-    one.quotas.gone(PeerId(500));
-    one.quotas.heard(PeerId(501), later + 1s);
+    one.quotas.disconnected(PeerId(500));
+    one.quotas.noteContact(PeerId(501), later + 1s);
     auto report = one.quotas.report(later + 1s);
     REQUIRE(report);
-    REQUIRE((report->teller == PeerId(501)));
+    REQUIRE((report->totalsSource == PeerId(501)));
     if (report->asksForAll)
         one.quotas.take(PeerId(501), { {}, true }, later + 1s);
-    CHECK(!one.quotas.accounts().at("desk").use(later + 1s).isAlone);
+    CHECK(!one.quotas.accounts().at("desk").usage(later + 1s).isIsolated);
 }
 
 TEST_CASE("whatever fails, no window holds more than is allowed")
--- a/test/correctness/RegistryTest.cpp
+++ b/test/correctness/RegistryTest.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr Instant start { std::chrono::seconds(1000) };
-constexpr auto unrenewed = ReplicaRegistry::Names::Unrenewed;
+constexpr auto unrenewed = ReplicaRegistry::HeartbeatScope::Stale;
 constexpr PeerId first { 1 };
 constexpr PeerId second { 2 };
 
@@ -110,11 +110,11 @@
         if (i % 12 == 0)
             a.announce(replica(1, static_cast<std::uint64_t>(i)), 0s, now);
         if (i % 10 == 3) {
-            b.renew(a.heartbeat(ReplicaRegistry::Names::All, now), now);
+            b.renew(a.heartbeat(ReplicaRegistry::HeartbeatScope::All, now), now);
             gateway.renew(a.heartbeat(unrenewed, now), now);
         }
         if (i % 10 == 7) {
-            a.renew(b.heartbeat(ReplicaRegistry::Names::All, now), now);
+            a.renew(b.heartbeat(ReplicaRegistry::HeartbeatScope::All, now), now);
             gateway.renew(b.heartbeat(unrenewed, now), now);
         }
         for (const auto* registry : { &a, &b, &gateway })
@@ -122,7 +122,7 @@
     }
     for (const auto* registry : { &a, &b, &gateway }) {
         CHECK(registry->entries().at("i-0").isSilent(now));
-        CHECK(registry->entries().at("i-0").heardAt <= start + ReplicaRegistry::usualAge);
+        CHECK(registry->entries().at("i-0").lastHeardAt <= start + ReplicaRegistry::assumedAge);
     }
 }
 
@@ -137,17 +137,17 @@
     auto heartbeat = sender.heartbeat(unrenewed, start + 10s);
     CHECK(heartbeat.digest != receiver.digest());
     receiver.renew(heartbeat, start + 10s);
-    CHECK((receiver.entries().at("i-0").heardAt == start));
-    CHECK((receiver.entries().at("i-1").heardAt == start));
-    CHECK((receiver.entries().at("i-2").heardAt == start));
+    CHECK((receiver.entries().at("i-0").lastHeardAt == start));
+    CHECK((receiver.entries().at("i-1").lastHeardAt == start));
+    CHECK((receiver.entries().at("i-2").lastHeardAt == start));
 }
 
 TEST_CASE("a heartbeat of a release that sends no digest renews what it names, and nothing else")
 {
     auto receiver = registryOf(2);
     receiver.renew(RegistryHeartbeat { { { "i-0", 0s } }, 1, {}, { 0 } }, start + 5s);
-    CHECK((receiver.entries().at("i-0").heardAt == start + 5s));
-    CHECK((receiver.entries().at("i-1").heardAt == start));
+    CHECK((receiver.entries().at("i-0").lastHeardAt == start + 5s));
+    CHECK((receiver.entries().at("i-1").lastHeardAt == start));
 }
 
 TEST_CASE("the digest tells apart what is news, and nothing else")
@@ -165,7 +165,7 @@
     {
         for (int i = 1; i < 5; ++i)
             registry.renew({ "i-" + std::to_string(i), {} }, 0s, start + 50s);
-        registry.forgetOld(start + 62s);
+        registry.removeExpired(start + 62s);
     }
     CHECK(registry.digest() != before);
 }
@@ -175,7 +175,7 @@
     auto registry = registryOf(1);
     auto before = registry.digest();
     registry.changeStage({ "i-0", UpstreamKind::Decode, 5s, {} }, start);
-    registry.forgetOld(start + 6s);
+    registry.removeExpired(start + 6s);
     CHECK(registry.digest() == before);
 }
 
@@ -207,32 +207,32 @@
 TEST_CASE("one process is asked at a time, another one when it does not answer, and none that knows nothing")
 {
     RegistryFollower follower;
-    follower.told(first, 7, 0);
-    CHECK_FALSE(follower.nextToAsk(1, start));
-    follower.told(first, 7, 5);
-    follower.told(second, 7, 5);
-    CHECK((follower.nextToAsk(1, start) == first));
-    CHECK_FALSE(follower.nextToAsk(1, start + 100ms));
-    CHECK((follower.nextWake() == start + RegistryFollower::answerLimit));
+    follower.digestReceived(first, 7, 0);
+    CHECK_FALSE(follower.nextPeerToQuery(1, start));
+    follower.digestReceived(first, 7, 5);
+    follower.digestReceived(second, 7, 5);
+    CHECK((follower.nextPeerToQuery(1, start) == first));
+    CHECK_FALSE(follower.nextPeerToQuery(1, start + 100ms));
+    CHECK((follower.nextWake() == start + RegistryFollower::responseTimeout));
     SUBCASE("the answer makes both agree")
     {
-        follower.listed(first);
-        CHECK_FALSE(follower.nextToAsk(7, start + 200ms));
+        follower.listReceived(first);
+        CHECK_FALSE(follower.nextPeerToQuery(7, start + 200ms));
         CHECK((follower.nextWake() == Instant::max()));
     }
-    SUBCASE("no answer") { CHECK((follower.nextToAsk(1, start + RegistryFollower::answerLimit) == second)); }
+    SUBCASE("no answer") { CHECK((follower.nextPeerToQuery(1, start + RegistryFollower::responseTimeout) == second)); }
     SUBCASE("its link ends")
     {
-        follower.gone(first);
-        CHECK((follower.nextToAsk(1, start + 100ms) == second));
+        follower.disconnected(first);
+        CHECK((follower.nextPeerToQuery(1, start + 100ms) == second));
     }
     SUBCASE("the answer leaves a difference: each is asked once a second")
     {
-        follower.listed(first);
-        CHECK((follower.nextToAsk(3, start + 100ms) == second));
-        follower.listed(second);
-        CHECK_FALSE(follower.nextToAsk(3, start + 900ms));
-        CHECK((follower.nextToAsk(3, start + RegistryFollower::askAgainAfter) == first));
+        follower.listReceived(first);
+        CHECK((follower.nextPeerToQuery(3, start + 100ms) == second));
+        follower.listReceived(second);
+        CHECK_FALSE(follower.nextPeerToQuery(3, start + 900ms));
+        CHECK((follower.nextPeerToQuery(3, start + RegistryFollower::retryInterval) == first));
     }
 }
 
--- a/test/correctness/ReplicaTest.cpp
+++ b/test/correctness/ReplicaTest.cpp
@@ -161,8 +161,8 @@
     SharedRetryBudget budget({ 0.2, 100, 10s });
     budget.setGateways(1, start);
     budget.countRequest("s", start);
-    CHECK(budget.left("s", start) < 0.41 * 100.2);
-    CHECK(budget.left("s", start + 11s) > 0.79 * 100);
+    CHECK(budget.remaining("s", start) < 0.41 * 100.2);
+    CHECK(budget.remaining("s", start + 11s) > 0.79 * 100);
 }
 
 TEST_CASE("a replica that is not what it announced is not asked again before its next announcement")
--- a/test/support/QuotaFleet.h
+++ b/test/support/QuotaFleet.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "request/fleet/AccountQuotas.h"
-#include "request/fleet/QuotaExchange.h"
+#include "request/fleet/QuotaAggregator.h"
 
 #include <algorithm>
 #include <deque>
@@ -84,15 +84,15 @@
     void restartGateway(std::size_t gateway)
     {
         for (auto& controller : m_controllers)
-            controller.gone(m_gateways[gateway].id, now);
+            controller.disconnected(m_gateways[gateway].id, now);
         begin(m_gateways[gateway], static_cast<int>(gateway));
     }
     void restartController(std::size_t c)
     {
         m_controllers[c] = {};
         for (auto& gateway : m_gateways) {
-            gateway.quotas->gone(PeerId(500 + c));
-            gateway.linked[c] = false;
+            gateway.quotas->disconnected(PeerId(500 + c));
+            gateway.connected[c] = false;
         }
     }
     void setRule(const QuotaRule& changed)
@@ -136,7 +136,7 @@
     struct Gateway {
         PeerId id;
         std::unique_ptr<AccountQuotas> quotas;
-        std::vector<bool> linked;
+        std::vector<bool> connected;
         bool isFrozen = false;
     };
 
@@ -145,7 +145,7 @@
         gateway.id = PeerId(++m_lastId);
         gateway.quotas = std::make_unique<AccountQuotas>(tolerance, "gateway-" + std::to_string(i));
         gateway.quotas->setRules({ { "desk", m_rule } }, now);
-        gateway.linked.assign(m_controllers.size(), false);
+        gateway.connected.assign(m_controllers.size(), false);
     }
 
     [[nodiscard]] bool reaches(std::size_t g, std::size_t c) const { return m_cut[c].empty() || !m_cut[c][g]; }
@@ -156,9 +156,9 @@
         for (std::size_t g = 0; g < m_gateways.size(); ++g) {
             auto& gateway = m_gateways[g];
             for (std::size_t c = 0; c < m_controllers.size(); ++c) {
-                if (!gateway.linked[c] && reaches(g, c)) {
-                    m_controllers[c].linked(gateway.id, "gateway-" + std::to_string(g));
-                    gateway.linked[c] = true;
+                if (!gateway.connected[c] && reaches(g, c)) {
+                    m_controllers[c].connected(gateway.id, "gateway-" + std::to_string(g));
+                    gateway.connected[c] = true;
                     hear(gateway, c);
                 }
                 bool isHeartbeat = (now - start) % 1s == Duration::zero();
@@ -170,7 +170,7 @@
             if (auto report = gateway.quotas->report(now))
                 send(g, *report);
         }
-        if ((now - start) % quota::tellEvery != Duration::zero())
+        if ((now - start) % quota::broadcastInterval != Duration::zero())
             return;
         for (std::size_t c = 0; c < m_controllers.size(); ++c) {
             for (const auto& [peer, totals] : m_controllers[c].tell(now))
@@ -183,7 +183,7 @@
         if (gateway.isFrozen)
             return;
         gateway.quotas->setGateways(static_cast<std::uint32_t>(m_gateways.size()));
-        gateway.quotas->heard(PeerId(500 + c), now);
+        gateway.quotas->noteContact(PeerId(500 + c), now);
     }
 
     void send(std::size_t g, const AccountQuotas::Report& report)
@@ -192,7 +192,8 @@
             if (!reaches(g, c))
                 continue;
             ++messages;
-            m_controllers[c].take(m_gateways[g].id, { report.uses, report.teller == PeerId(500 + c), report.asksForAll, report.told }, now);
+            m_controllers[c].take(
+                m_gateways[g].id, { report.uses, report.totalsSource == PeerId(500 + c), report.asksForAll, report.told }, now);
         }
     }
 
@@ -209,7 +210,7 @@
 
     QuotaRule m_rule = rule;
     std::deque<Gateway> m_gateways;
-    std::vector<QuotaExchange> m_controllers;
+    std::vector<QuotaAggregator> m_controllers;
     std::vector<std::vector<bool>> m_cut; ///< By controller and gateway; empty: none.
     std::vector<std::pair<Instant, double>> m_runs;
     AccountQuota::Verdict m_last;
