--- a/src/request/fleet/AccountQuota.cpp
+++ b/src/request/fleet/AccountQuota.cpp
@@ -41,7 +41,7 @@
     m_level = std::min(depth(), m_level + std::max(0.0, depth() - former));
 }
 
-/// What this gateway may use a second without hearing of the others.
+/// What this gateway may use per second without knowing the usage of the others.
 double AccountQuota::share(Instant now) const
 {
     auto own = m_ownRate.perSecond(now);
@@ -56,7 +56,7 @@
     return { perSecond, depth() * perSecond / limit };
 }
 
-/// Fills the bucket up to now: while others are heard, by what the limit leaves of their use.
+/// Refills the bucket for the time since the last call. While totals arrive, the rate of the other gateways is deducted from the limit.
 void AccountQuota::fill(Instant now)
 {
     if (!isLimited())
@@ -69,12 +69,12 @@
     auto elapsed = toSeconds(std::max(Duration::zero(), now - m_filledAt));
     auto others = !isIsolated(now) && m_isBusy ? m_othersPerSecond : 0;
     m_level = std::min(allowed.depth, m_level + (allowed.perSecond - others) * elapsed);
-    auto alone = share(now);
-    m_shareLevel = std::min(depth() * alone / m_rule.perSecond, m_shareLevel + alone * elapsed);
+    auto ownShare = share(now);
+    m_shareLevel = std::min(depth() * ownShare / m_rule.perSecond, m_shareLevel + ownShare * elapsed);
     m_filledAt = std::max(m_filledAt, now);
 }
 
-/// The part stays as it is from then on: by its own use it would grow, and with it what all use together.
+/// Fixes the share at the start of isolation. If it followed the gateway's own usage it would grow, and with it the sum over all gateways.
 void AccountQuota::enterIsolation(Instant now)
 {
     if (!m_isolatedShare)
@@ -85,8 +85,8 @@
 {
     if (isLimited()) {
         fill(now);
-        // A request may be larger than the bucket, or than a gateway's part of it: it goes when that is full, and the next ones wait for
-        // it.
+        // A request may be larger than the bucket, or than this gateway's share of it. It is admitted when the bucket is full, and later
+        // requests wait until the debt is filled up.
         auto needed = isIsolated(now) ? 0 : std::min(amount, allowance(now).depth);
         if (m_level < needed || m_level <= 0)
             return { false, recordRefusal(amount, now) };
@@ -112,15 +112,16 @@
 {
     ++m_refused;
     auto own = m_ownRate.perSecond(now);
-    auto ownPart = std::clamp(own / std::max(1.0, own + m_othersPerSecond), 1.0 / m_gateways, 1.0);
+    auto usageFraction = std::clamp(own / std::max(1.0, own + m_othersPerSecond), 1.0 / m_gateways, 1.0);
     auto perSecond = allowance(now).perSecond;
-    m_retryDemand = std::max(0.0, m_retryDemand - perSecond * ownPart * toSeconds(now - m_retryDemandAt));
+    m_retryDemand = std::max(0.0, m_retryDemand - perSecond * usageFraction * toSeconds(now - m_retryDemandAt));
     m_retryDemandAt = now;
-    // The other gateways refuse as many for each one here as their callers are more.
-    auto awaited = std::max(0.0, std::min(amount, depth()) - m_level) + m_retryDemand / ownPart;
+    // The other gateways are assumed to refuse in proportion to their usage, so the demand of the whole account is this gateway's demand
+    // divided by its part of the usage.
+    auto deficit = std::max(0.0, std::min(amount, depth()) - m_level) + m_retryDemand / usageFraction;
     m_retryDemand += amount;
-    auto after = fromSeconds(awaited / std::max(1.0, perSecond));
-    return m_isNew && m_hasContact ? std::min(after, firstTotalDelay) : after;
+    auto delay = fromSeconds(deficit / std::max(1.0, perSecond));
+    return m_isNew && m_hasContact ? std::min(delay, firstTotalDelay) : delay;
 }
 
 void AccountQuota::refund(double amount, Instant now)
@@ -136,7 +137,7 @@
 void AccountQuota::take(const AccountTotal& total, Instant now)
 {
     fill(now);
-    // What the others were taken to use since the last telling has left the bucket already, but while this gateway was alone.
+    // fill() has already deducted the assumed usage of the others since the last broadcast, except while this gateway was isolated.
     auto forecast = m_isBusy ? m_othersPerSecond * toSeconds(std::min(now - m_lastTotalAt, totalTimeout)) : 0;
     m_level += forecast - total.othersUse;
     m_othersPerSecond = total.othersPerSecond;
--- a/src/request/fleet/AccountQuota.h
+++ b/src/request/fleet/AccountQuota.h
@@ -1,15 +1,15 @@
 /** \file
- * What one client account may still ask for, as one gateway sees it: its share of a limit that all gateways keep together.
+ * One gateway's view of a client account's rate limit, which all gateways enforce together.
  *
- * A bucket: it fills at the account's rate, up to its depth, and what any gateway admits is taken out of it; the gateway's own admissions
- * at once, those of the others when a controller tells of them. So a gateway that hears the controllers refuses nobody while the
- * account is below its limit, wherever its callers come in, and all gateways together admit no more than the rate but for what is on
- * its way.
+ * Each gateway keeps a token bucket per account. It fills at the account's full rate up to its depth, and the admissions of all gateways
+ * are deducted from it: the gateway's own immediately, those of the others when a controller broadcasts them. A gateway in contact with a
+ * controller therefore refuses nothing while the account is below its limit, whichever gateways its callers use, and all gateways together
+ * exceed the rate only by what has not been reported yet.
  *
- * Between two tellings the others are taken to go on as they did. A gateway that hears of no others (a cut, a freeze, its own start) keeps
- * to its part of the rate by what was known last. The parts of all gateways add up to the rate, and the controllers on the other side of a
- * cut set the same part aside (QuotaAggregator). What a gateway uses within its part it may use without hearing of anybody; beyond that it
- * asks to be told of the others.
+ * Between two broadcasts the other gateways are assumed to continue at their last known rate. A gateway that receives no broadcasts
+ * (network partition, frozen process, own start) is isolated and admits only its share of the rate, computed from the last known usage. The
+ * shares of all gateways add up to the rate, and the controllers on the other side of a partition reserve the same share
+ * (QuotaAggregator). A gateway may use up to its share without knowing the usage of the others; beyond that it requests their total.
  */
 #pragma once
 
@@ -20,88 +20,92 @@
 
 namespace wrenhinge {
 
-/// How far all gateways together may go beyond an account's limit, in any window.
+/// How far all gateways together may exceed an account's limit in any window.
 struct QuotaSettings {
     Duration window = 8s;
-    double excess = 0; ///< Of what the limit allows in the window.
-    double slack = 0; ///< In the unit of the limit.
+    double excess = 0; ///< As a fraction of what the limit allows in the window.
+    double slack = 0; ///< Added to that, in the unit of the limit.
 };
 
 namespace quota {
 
-    /// An account counts as busy from this part of its limit on: all gateways are then told of its use several times a second. Below
-    /// it nobody needs to know, as each one's bucket fills faster than all together empty it.
+    /// An account that uses more than this fraction of its limit is busy, and its usage is broadcast to all gateways. Below it no broadcast
+    /// is needed, since each bucket fills faster than all gateways together drain it.
     inline constexpr double busyFraction = 0.7;
-    /// How often that is.
+    /// Interval between two broadcasts of the usage of busy accounts.
     inline constexpr Duration broadcastInterval = 100ms;
-    /// What a process uses is taken over this time when it has to go on alone.
+    /// Time constant of the average usage from which the share of an isolated gateway is computed.
     inline constexpr Duration usageTimeConstant = 4s;
 
-    /// The rest goes to all gateways alike, since callers come to other gateways when theirs is gone.
+    /// The fraction of a limit that is divided among gateways in proportion to their usage. The rest is divided evenly, since callers move
+    /// to other gateways when theirs fails.
     inline constexpr double usageWeight = 0.75;
 
-    /// The part of a limit that a gateway may use which the others don't hear, and that they set aside for it: by its use, and a rest
-    /// to all alike. The parts of all add up to the limit.
+    /// The share of a limit that an isolated gateway may use, and that the controllers reserve for it, per second. Part of it is
+    /// proportional to the gateway's usage, the rest is the same for all gateways. The shares of all gateways add up to the limit.
     ///
-    /// \param reserved what is set aside already, for gateways whose use is not in `all`. Without it, those that are cut off one after the
-    /// other would share the whole limit once more each time.
-    ///
-    /// \param own what it used a second, of \param all that all used; zero: not known here, and less than `busyFraction` of the limit.
+    /// \param reserved already reserved per second for gateways whose usage is not in `all`. Without it, gateways that are isolated one
+    /// after the other would divide the whole limit again each time.
+    /// \param own usage of this gateway per second.
+    /// \param all usage of all gateways per second; zero: not known here, and less than `busyFraction` of the limit.
     double isolatedShare(double limit, double reserved, double own, double all, std::uint32_t gateways);
 
 } // namespace quota
 
 class AccountQuota {
 public:
-    /// \param now when the rule was first heard of here.
+    /// \param now when this gateway first received the rule.
     AccountQuota(const QuotaRule&, const QuotaSettings&, Instant now);
 
-    /// A newer document. What a higher limit allows more is there at once; what a lower one takes away is gone at once.
+    /// Applies the rule of a newer document. The difference in depth is added to or removed from the bucket immediately.
     void setRule(const QuotaRule&);
 
     struct Verdict {
         bool isAdmitted = true;
-        Duration retryAfter {}; ///< When the bucket will hold enough, after those that were refused before.
+        Duration retryAfter {}; ///< When the bucket will hold enough, counting the requests that were refused before this one.
     };
-    /// Takes the amount out, or says when to come back.
+    /// Takes the amount from the bucket, or refuses it and says when to retry.
     Verdict admit(double amount, Instant now);
-    /// What was admitted has not run.
+    /// Puts back what was admitted but has not run.
     void refund(double amount, Instant now);
-    /// A controller tells of the use of all others.
+    /// Applies the usage of all other gateways, as broadcast by a controller.
     void take(const AccountTotal&, Instant now);
-    /// A controller tells of all accounts that are busy, and this is none of them.
+    /// A controller has broadcast all busy accounts, and this one is not among them.
     void markNotBusy();
-    /// \param hasContact some controller is heard. \param gateways that share the limit.
+    /// \param hasContact whether heartbeats from some controller arrive.
+    /// \param gateways that share the limit.
     void setContact(bool hasContact, std::uint32_t gateways, Instant now);
 
-    /// What was used here since the last call.
+    /// Returns the usage since the last call, to be reported.
     double takeUnreported();
-    /// No controller hears of it: keeps as much as the others' buckets may lose by all gateways that come back together.
+    /// Called while no controller is reachable. Limits the backlog of unreported usage to what the buckets of the others can bear if all
+    /// isolated gateways reconnect at the same time.
     void capUnreported(Instant now);
-    /// Of the limit, as told last.
+    /// The part of the limit reserved for unreachable gateways, as last broadcast.
     [[nodiscard]] double reservedPerSecond() const { return m_reservedPerSecond; }
     [[nodiscard]] double unreported() const { return m_unreported; }
-    /// Use beyond this is reported at once: unreported at all gateways, it is a small part of the bucket.
+    /// Unreported usage above this is reported without delay. If every gateway has this much unreported, the sum is still a small part of
+    /// the bucket.
     [[nodiscard]] double reportThreshold() const;
     [[nodiscard]] const QuotaRule& rule() const { return m_rule; }
     [[nodiscard]] bool isLimited() const { return m_rule.perSecond > 0; }
-    /// In the bucket now; below zero after others have used more than was known here.
+    /// The level of the bucket; negative after other gateways have used more than was known here.
     [[nodiscard]] double remaining(Instant now);
-    /// The account is busy, and no controller has told of it for a while.
+    /// Whether the account is busy, or its total was requested, and no total has arrived within `totalTimeout`.
     [[nodiscard]] bool isTotalOverdue(Instant now) const
     {
         return (m_isBusy && now - m_lastTotalAt > totalTimeout) || (m_requestedAt && now - *m_requestedAt > totalTimeout);
     }
-    /// It uses more than its part, so the others' use should be told.
+    /// Whether this gateway uses more than its share, so that it needs to know the usage of the others.
     [[nodiscard]] bool asksForTotal() const { return m_requestedAt.has_value() || m_exceedsShare; }
-    /// There is something to report, or totals are awaited.
+    /// Whether there is usage to report, or a total is expected.
     [[nodiscard]] bool isActive() const { return m_unreported != 0 || m_isBusy || asksForTotal(); }
-    /// What is known of the account's use here; for operators.
+    /// The account's usage as known to this gateway; for operators.
     struct Usage {
         double ownPerSecond = 0;
-        double othersPerSecond = 0; ///< Zero unless the account is busy: nobody is told of it then.
+        double othersPerSecond = 0; ///< Zero unless the account is busy, since it is not broadcast otherwise.
         double remaining = 0;
-        bool isIsolated = false; ///< No controller tells of the others.
+        bool isIsolated = false; ///< No controller provides the usage of the others.
     };
     [[nodiscard]] Usage usage(Instant now);
     [[nodiscard]] std::optional<Instant> lastTotalAt() const
@@ -112,17 +116,21 @@
     [[nodiscard]] std::uint64_t refused() const { return m_refused; }
 
 private:
-    /// Several tellings were lost, or their sender is cut off.
+    /// After this time without a total, several broadcasts were lost or their sender is unreachable.
     static constexpr Duration totalTimeout = 300ms;
-    /// A gateway that has just come hears of the others within this time, and may then have room.
+    /// A gateway that has just started receives its first total within this time, and may be able to admit more then.
     static constexpr Duration firstTotalDelay = 250ms;
-    /// The part of what is allowed beyond the limit that the bucket is deeper by. The rest is for what is admitted before all know of it.
+    /// The fraction of the tolerance by which the bucket is deeper than the burst. The rest of the tolerance covers requests that are
+    /// admitted before all gateways know of them.
     static constexpr double depthFraction = 0.02;
-    /// The part of the slack that a bucket holds at first: a gateway that has just started does not know what was used before.
+    /// The fraction of the slack that a new bucket holds. It is small because a gateway that has just started does not know what was used
+    /// before.
     static constexpr double initialFillFraction = 1.0 / 32;
-    /// The part of it that all gateways may use beyond their parts before they ask how much the others use: a request or so each.
+    /// The fraction of the tolerance that all gateways together may use beyond their shares before they request the usage of the others:
+    /// about one request per gateway.
     static constexpr double maxOverdraftFraction = 0.1;
-    /// The part of it that is not set aside for gateways that are not heard: what these use for a moment is borne by the excess.
+    /// Reservations up to this fraction of the tolerance don't reduce the limit: the tolerance covers what unreachable gateways use for a
+    /// short time.
     static constexpr double unreservedFraction = 1.0 / 64;
 
     struct Allowance {
@@ -143,22 +151,22 @@
     QuotaSettings m_settings;
     std::uint32_t m_gateways = SharedRetryBudget::assumedGateways;
     bool m_hasContact = false;
-    bool m_isNew = true; ///< Not told of the others since it hears of them: before that it would use up what they have used.
+    bool m_isNew = true; ///< No total has arrived since contact began; until then this gateway might admit what others have used already.
     double m_level = 0;
     Instant m_filledAt;
     double m_unreported = 0;
     DecayingRate m_ownRate { quota::usageTimeConstant };
-    std::optional<double> m_isolatedShare; ///< Set while it hears of no others: what it may use a second.
-    double m_shareLevel = 0; ///< What it may use at once without hearing of the others.
+    std::optional<double> m_isolatedShare; ///< Set while isolated: what this gateway may use per second.
+    double m_shareLevel = 0; ///< What this gateway may use at once without knowing the usage of the others.
     bool m_exceedsShare = false;
-    std::optional<Instant> m_requestedAt; ///< For totals that have not come yet.
-    // As told last.
+    std::optional<Instant> m_requestedAt; ///< Set while a requested total has not arrived.
+    // As last broadcast.
     Instant m_lastTotalAt;
     bool m_isBusy = false;
     double m_othersPerSecond = 0;
     double m_reservedPerSecond = 0;
     // Refused callers.
-    double m_retryDemand = 0; ///< What they will ask for when they come back.
+    double m_retryDemand = 0; ///< What they will request when they retry.
     Instant m_retryDemandAt;
     std::uint64_t m_admitted = 0;
     std::uint64_t m_refused = 0;
--- a/src/request/fleet/AccountQuotas.cpp
+++ b/src/request/fleet/AccountQuotas.cpp
@@ -66,19 +66,19 @@
 void AccountQuotas::take(PeerId controller, const QuotaTotals& totals, Instant now)
 {
     noteContact(controller, now);
-    // Another one's totals hold the same use once more.
+    // Another controller's totals contain the same usage again.
     if (controller != m_totalsSource)
         return;
     m_gatewaysSeen = totals.gateways;
     m_gatewaysSeenAt = now;
     if (totals.isAll) {
         m_knowsBusyAccounts = true;
-        std::set<AccountId> told;
+        std::set<AccountId> received;
         for (const auto& total : totals.totals)
-            told.insert(total.account);
+            received.insert(total.account);
         for (auto& [name, quota] : m_accounts) {
             quota.setContact(true, m_gateways, now);
-            if (!told.contains(accountId(name)))
+            if (!received.contains(accountId(name)))
                 quota.markNotBusy();
         }
     }
@@ -88,7 +88,7 @@
     }
 }
 
-/// Each gateway has its own order of the controllers, so that each of these tells a like number.
+/// Rendezvous hashing: each gateway ranks the controllers in an order of its own, so that all controllers serve about as many gateways.
 void AccountQuotas::chooseTotalsSource(Instant now)
 {
     bool isSilent
@@ -98,16 +98,16 @@
     if (m_totalsSource && m_lastHeardAt.contains(*m_totalsSource) && now - m_lastHeardAt.at(*m_totalsSource) <= contactTimeout)
         return;
     m_totalsSource.reset();
-    // What the former one told to be busy may not be so by now, and the new one would not say it: a gateway that waits for news of such an
-    // account keeps to its part of the limit, and refuses callers that the limit allows.
+    // An account that the previous controller broadcast as busy may no longer be, and the new one would not mention it. Waiting for its
+    // total, this gateway would stay within its share and refuse requests that the limit allows, so it requests all busy accounts.
     m_knowsBusyAccounts = false;
     std::uint64_t lowest = 0;
     auto consider = [&](PeerId controller) {
-        auto place = XXH3_64bits_withSeed(m_gateway.data(), m_gateway.size(), controller.value());
-        if (m_totalsSource && place >= lowest)
+        auto rank = XXH3_64bits_withSeed(m_gateway.data(), m_gateway.size(), controller.value());
+        if (m_totalsSource && rank >= lowest)
             return;
         m_totalsSource = controller;
-        lowest = place;
+        lowest = rank;
     };
     for (const auto& [controller, at] : m_lastHeardAt) {
         if (now - at <= contactTimeout && controller != m_previousSource)
@@ -117,7 +117,7 @@
         m_totalsSource = m_previousSource;
 }
 
-/// Nobody would hear of it. What was used shortly before somebody does is told then.
+/// Called while no controller is reachable. The usage that is kept is reported when one is reachable again.
 void AccountQuotas::capUnreported(Instant now)
 {
     for (auto& [name, quota] : m_accounts)
@@ -125,7 +125,7 @@
     m_reportAt = now + reportInterval;
 }
 
-/// For controllers that have just started: they miss those that were counted before and don't come.
+/// Tells controllers that have just started how many gateways there were, so that they reserve shares for those that don't connect.
 GatewaysSeen AccountQuotas::gatewaysSeen(Instant now) const
 {
     auto seen = now - m_gatewaysSeenAt <= gatewaysSeenLifetime ? m_gatewaysSeen : GatewaysSeen();
@@ -140,8 +140,8 @@
         return std::nullopt;
     chooseTotalsSource(now);
     Report report { {}, m_totalsSource, !m_knowsBusyAccounts, gatewaysSeen(now) };
-    bool isWhole = now - m_reportedAt >= reportInterval;
-    if (isWhole)
+    bool isFullReport = now - m_reportedAt >= reportInterval;
+    if (isFullReport)
         m_reportedAt = now;
     if (!hasContact(now)) {
         capUnreported(now);
@@ -150,7 +150,7 @@
     for (const auto& name : m_active) {
         auto& quota = m_accounts.at(name);
         quota.setContact(true, m_gateways, now);
-        bool isDue = isWhole ? quota.unreported() != 0 : quota.unreported() > quota.reportThreshold();
+        bool isDue = isFullReport ? quota.unreported() != 0 : quota.unreported() > quota.reportThreshold();
         if (isDue || quota.asksForTotal())
             report.uses.push_back(
                 { accountId(name), quota.takeUnreported(), quota.rule().perSecond, quota.asksForTotal(), quota.reservedPerSecond() });
--- a/src/request/fleet/AccountQuotas.h
+++ b/src/request/fleet/AccountQuotas.h
@@ -1,5 +1,5 @@
 /** \file
- * The limits of all client accounts at one gateway: which controller it goes by, and what it reports when.
+ * The rate limits of all client accounts at one gateway: which controller's totals it applies, and what it reports when.
  */
 #pragma once
 
@@ -17,46 +17,47 @@
 
 class AccountQuotas {
 public:
-    /// A controller that was heard of within this time is reached: its heartbeats come once a second.
+    /// A controller counts as reachable if something was received from it within this time. Its heartbeats come once a second.
     static constexpr Duration contactTimeout = 1300ms;
-    /// What was used is reported this often at least; soon after it has become much.
+    /// Usage is reported at least this often.
     static constexpr Duration reportInterval = 500ms;
+    /// Delay of a report once usage exceeds `AccountQuota::reportThreshold` or a total is needed.
     static constexpr Duration promptReportDelay = 20ms;
-    /// What was told of unheard gateways is passed on to controllers that start within this time.
+    /// For this long, the last received count of gateways, and of unreachable ones, is sent to controllers that start.
     static constexpr Duration gatewaysSeenLifetime = 60s;
 
-    /// \param gateway the name of this one.
+    /// \param gateway the name of this gateway.
     explicit AccountQuotas(QuotaSettings settings = {}, std::string gateway = {})
         : m_settings(settings)
         , m_gateway(std::move(gateway))
     {
     }
 
-    /// The limits in force, by the account's name. What is known of an account stays.
+    /// Sets the limits in force, by account name. The state of accounts that still have a rule is kept.
     void setRules(const std::map<std::string, QuotaRule>&, Instant now);
-    /// Takes the amount from what the account may use. An account without a rule may use any.
+    /// Takes the amount from the account's bucket. An account without a rule is not limited.
     AccountQuota::Verdict admit(const std::string& account, double amount, Instant now);
     void refund(const std::string& account, double amount, Instant now);
 
-    // What is heard.
+    // Received from controllers.
     void setGateways(std::uint32_t n) { m_gateways = n; }
     void noteContact(PeerId controller, Instant now);
     void disconnected(PeerId controller) { m_lastHeardAt.erase(controller); }
     void take(PeerId controller, const QuotaTotals&, Instant now);
 
-    /// What to tell all controllers.
+    /// A report to all controllers.
     struct Report {
         std::vector<AccountUse> uses;
-        std::optional<PeerId> totalsSource; ///< The controller by whose totals this gateway goes.
+        std::optional<PeerId> totalsSource; ///< The controller whose totals this gateway applies.
         bool asksForAll = false;
         GatewaysSeen told;
     };
-    /// \returns nothing before `nextReport`.
+    /// \returns nothing before `nextReport`, or without contact to a controller.
     std::optional<Report> report(Instant now);
     [[nodiscard]] Instant nextReport() const { return m_reportAt; }
 
     [[nodiscard]] bool hasContact(Instant now) const;
-    /// By name; for operators.
+    /// By account name; for operators.
     [[nodiscard]] std::map<std::string, AccountQuota>& accounts() { return m_accounts; }
 
 private:
@@ -70,19 +71,19 @@
     std::uint32_t m_gateways = SharedRetryBudget::assumedGateways;
     std::map<std::string, AccountQuota> m_accounts;
     std::unordered_map<AccountId, std::string> m_names;
-    /// Accounts that may be active: reports come many times a second, and go by these alone, however many accounts there are.
+    /// Accounts that may be active. Reports are made many times a second, so their cost must not grow with the number of all accounts.
     std::set<std::string> m_active;
-    std::map<PeerId, Instant> m_lastHeardAt; ///< Controllers.
+    std::map<PeerId, Instant> m_lastHeardAt; ///< By controller.
     std::optional<PeerId> m_totalsSource;
-    bool m_knowsBusyAccounts = false; ///< A controller has told of all busy accounts since this gateway hears of them.
-    GatewaysSeen m_gatewaysSeen; ///< By the teller, at `m_gatewaysSeenAt`.
+    bool m_knowsBusyAccounts = false; ///< A controller has sent all busy accounts since contact began.
+    GatewaysSeen m_gatewaysSeen; ///< By `m_totalsSource`, received at `m_gatewaysSeenAt`.
     Instant m_gatewaysSeenAt;
-    std::optional<PeerId> m_previousSource; ///< It has fallen silent on a busy account, and is no choice while there is another.
+    std::optional<PeerId> m_previousSource; ///< It stopped sending totals of a busy account, and is chosen only if there is no other.
     Instant m_reportAt = Instant::max();
     Instant m_reportedAt;
 };
 
-/// How processes name the account to each other.
+/// The id that stands for the account in messages between processes.
 AccountId accountId(std::string_view name);
 
 } // namespace wrenhinge
--- a/src/request/fleet/CrashExchange.cpp
+++ b/src/request/fleet/CrashExchange.cpp
@@ -15,7 +15,7 @@
         requests.insert(crash.request);
     for (const auto& request : requests) {
         auto status = m_tracker.statusOf(request, now);
-        // All its crashes: gateways know only those that they saw themselves, and pass over what they know.
+        // All crashes of the request, not just the new ones: gateways know only those that they observed themselves, and ignore duplicates.
         if (status >= Status::Watched)
             m_tracker.describe(request, told.gateways, now);
         if (status == Status::Refused)
--- a/src/request/fleet/CrashExchange.h
+++ b/src/request/fleet/CrashExchange.h
@@ -1,10 +1,10 @@
 /** \file
- * What a controller does with the crashes of replicas under requests: what of them it tells whom.
+ * Decides which crashes of replicas a controller passes on, and to whom.
  *
- * What is news goes to all other controllers, as a gateway may reach only one side of a cut. Gateways are told of a request only once one
- * more crash would have it refused, and then of each further one: an engine that crashes leaves some tens of requests with one crash each,
- * and to tell these to a hundred gateways would cost thousands of messages for nothing. A process that links hears all at once, so a
- * gateway that has started again knows what it knew before, and so does a controller.
+ * New crashes go to all other controllers, since a gateway may reach only one side of a network partition. Gateways receive the crashes of
+ * a request only once one more crash would have it refused, and each further one after that: an engine that crashes leaves some tens of
+ * requests with one crash each, and sending these to a hundred gateways would cost thousands of messages to no effect. A process that
+ * connects receives a snapshot, so that a gateway or controller that restarts knows what it knew before.
  */
 #pragma once
 
@@ -17,14 +17,14 @@
     struct Updates {
         CrashReport controllers;
         CrashReport gateways;
-        std::vector<RequestFingerprint> refused; ///< Requests that are refused, and that something new was said of.
+        std::vector<RequestFingerprint> refused; ///< Requests in the report that are refused and had a new crash.
     };
 
     /// \returns what to pass on to all but the sender.
     Updates take(const CrashReport&, Instant now);
-    /// What a process that has just linked should hear.
+    /// What to send to a process that has just connected.
     [[nodiscard]] CrashReport snapshotFor(Role, Instant now) const;
-    /// Drops what the announcements have refuted since.
+    /// Clears crashes that announcements have refuted, and removes expired ones.
     void check(const ReplicaRegistry& registry, Instant now) { m_tracker.dropRefuted(registry, now); }
     [[nodiscard]] const CrashTracker& tracker() const { return m_tracker; }
 
--- a/src/request/fleet/CrashTracker.cpp
+++ b/src/request/fleet/CrashTracker.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-    /// Crashes of one request that are kept. Many more than it takes to refuse it come only of a request that many callers send, while
-    /// replicas are reset all the time; further ones then are passed over, rather than old ones forgotten and taken for new when they are
-    /// told again.
+    /// The most crashes that are kept per request. Only a request that many callers send while connections to replicas are reset all the
+    /// time has so many more than it takes to refuse it. Further ones are ignored; if old ones were evicted instead, they would be taken
+    /// for new when they are reported again.
     constexpr std::size_t maxCrashes = 64;
-    /// How many are forgotten at once when there are too many requests, so that the oldest need not be looked for at each new one.
+    /// How many requests are evicted at a time, so that the oldest need not be searched for with each new request.
     constexpr std::size_t evictionBatch = CrashTracker::maxRequests / 8;
 
 } // namespace
 
-// --- What is known ----------------------------------------------------------------------------------------------
+// --- Recording crashes and responses ----------------------------------------------------------------------------
 
 CrashReport CrashTracker::noteCrash(RequestFingerprint request, const ReplicaRun& run, Duration ranFor, Instant now)
 {
@@ -36,15 +36,15 @@
         return false;
     crash.isCleared = crash.at <= request.servedAt;
     bool isNews = !crash.isCleared;
-    auto after = std::upper_bound(
+    auto position = std::upper_bound(
         request.crashes.begin(), request.crashes.end(), crash.at, [](Instant at, const Crash& other) { return at < other.at; });
-    request.crashes.insert(after, std::move(crash));
+    request.crashes.insert(position, std::move(crash));
     if (m_requests.size() > maxRequests)
         evictOldest();
     return isNews;
 }
 
-/// \returns whether this cleared any crash, which alone is news.
+/// \returns whether this cleared any crash; only then is it reported to other processes.
 bool CrashTracker::clear(RequestFingerprint fingerprint, Instant servedAt)
 {
     auto it = m_requests.find(fingerprint);
@@ -99,7 +99,8 @@
     return request.crashes.empty() ? last : std::max(last, request.crashes.back().at);
 }
 
-/// A request that was refused goes by the end of its refusal: those that a few engines leave with one crash each must not displace it.
+/// The age of a refused request counts from the end of its refusal, so that the many requests with one crash each that a few engines leave
+/// don't displace it.
 void CrashTracker::evictOldest()
 {
     std::vector<std::pair<Instant, RequestFingerprint>> byAge;
@@ -110,7 +111,7 @@
         m_requests.erase(byAge[i].second);
 }
 
-// --- What follows from it ---------------------------------------------------------------------------------------
+// --- Evaluating them --------------------------------------------------------------------------------------------
 
 CrashTracker::Evaluation CrashTracker::evaluate(const Request& request)
 {
@@ -118,7 +119,7 @@
     Instant lastCounted;
     auto refusal = firstRefusal;
     for (const auto& crash : request.crashes) {
-        // It was in progress when the request was refused, or when another replica ended under it.
+        // Ignores runs that were in progress when the request was refused, or when another replica crashed while running it.
         bool isIgnored = crash.isCleared || crash.at < evaluation.refusedUntil
             || (evaluation.counted && crash.began + messageDelayTolerance < lastCounted);
         if (isIgnored)
--- a/src/request/fleet/CrashTracker.h
+++ b/src/request/fleet/CrashTracker.h
@@ -1,22 +1,22 @@
 /** \file
- * Which requests crash the replicas that run them, from all crashes that this process has seen or was told of.
+ * Finds requests that crash the replicas that run them, from all crashes that this process has observed or received reports of.
  *
- * Such a request comes again under another id, at any gateway, and each of its runs crashes one more replica and cuts off all else that
- * runs there. No gateway sees more of it than a lost connection, so the crashes are collected by all processes alike: gateways report
- * what they see, controllers pass it on. A request is refused once three replicas have crashed under it, one after the other.
+ * Such a request is sent again under another id, at any gateway. Each run crashes another replica and aborts everything else that runs
+ * there. A single gateway sees no more than a lost connection, so all processes collect the crashes: gateways report what they see,
+ * controllers pass it on. A request is refused once three replicas have crashed while running it, one after the other.
  *
- * What else runs at a replica that crashes looks the same, so what tells them apart matters:
- * - a crash counts only if the run began after the last crash that counted. A rack that loses its power ends many runs of one caller's
- *   lookup at once, and none of them began after it knew of another's end;
- * - a replica that was heard of after its crash did not crash: its connection was reset, or it broke off one answer;
- * - a whole answer shows that the request crashes no replica, and nothing from before it counts.
+ * Other requests at the same replica see the same lost connection. They are told apart as follows:
+ * - a crash counts only if the run began after the last crash that counted. A rack that loses power ends many runs of the same request at
+ *   once, but none of them began after another had ended;
+ * - a replica from which something was received after its crash did not crash: its connection was reset, or it aborted one response;
+ * - a complete response shows that the request crashes no replica, and clears all earlier crashes.
  *
- * A crash is known once and cleared once at each process, and never comes back, so what processes tell each other of it comes to an end. By
- * the times alone, which are a little later after each message, a crash that was cleared would look new when it came again by another way,
- * be cleared again, and both would go round between the controllers for ever.
+ * At each process a crash is added once and cleared at most once, and is never added again, so the exchange of reports terminates.
+ * Comparing times alone would not be enough: each hop adds some latency to them, so a cleared crash that arrived by another path would look
+ * new and be cleared again, and both reports would circulate between the controllers forever.
  *
- * A refused request is let through again after a while, since the replicas may have been mended; if it crashes one more, it is refused for
- * twice as long. All of this follows from the list of crashes alone, so that processes which know the same ones agree.
+ * A refused request is admitted again after a while, since the replicas may have been repaired; if it crashes one more, it is refused for
+ * twice as long. All of this is computed from the list of crashes alone, so processes that know the same crashes agree.
  */
 #pragma once
 
@@ -32,47 +32,48 @@
 public:
     enum class Status : std::uint8_t {
         Unknown,
-        Watched, ///< One more crash and it is refused, or it was refused before: all gateways should know, as a whole answer at any clears
-                 ///< it.
+        Watched, ///< One more crash has it refused, or it was refused before. All gateways are informed, since a complete response at any
+                 ///< of them clears it.
         Refused,
     };
 
-    /// Two replicas may crash under a request by chance; three in a row, with no answer in between, hardly.
+    /// Two replicas may crash while running a request by coincidence; three in a row, with no response in between, are unlikely to.
     static constexpr std::size_t crashesUntilRefused = 3;
     static constexpr std::size_t crashesUntilWatched = 2;
-    /// Long against the seconds after which a caller comes back, and short against the time in which replicas are mended.
+    /// Long compared with the seconds after which callers retry, and short compared with the time it takes to repair replicas.
     static constexpr Duration firstRefusal = 2min;
     static constexpr Duration longestRefusal = 1h;
-    /// What is known of a request is dropped when nothing has come for this long after its last crash or its refusal.
+    /// A request is removed this long after its last crash, its last complete response or the end of its refusal, whichever is latest.
     static constexpr Duration retentionPeriod = 10min;
-    /// A replica that was heard of so long after a crash did not crash. Heartbeats may take a run to be fresher than it is by half of
-    /// `ReplicaRegistry::freshFor`, and an announcement may have been on its way.
+    /// A replica from which something was received this long after a crash did not crash. The delay is needed since heartbeats may report
+    /// a run as fresher than it is by half of `ReplicaRegistry::freshFor`, and an announcement may have been in flight.
     static constexpr Duration refutationDelay = ReplicaRegistry::freshFor;
-    /// Crashes and starts that two processes saw are compared by ages that a message carried: less than its way is no order.
+    /// Times observed by different processes are compared by the ages in messages, so differences below a message's latency say nothing
+    /// about their order.
     static constexpr Duration messageDelayTolerance = 50ms;
-    /// Requests that are known at most, some 100 bytes each. One engine that crashes leaves some tens; beyond this the oldest are
-    /// forgotten.
+    /// The most requests that are kept, at about 100 bytes each. One engine that crashes leaves some tens; beyond this limit the oldest are
+    /// evicted.
     static constexpr std::size_t maxRequests = 8192;
 
-    /// Why such a request is refused, in a caller's words.
+    /// The error message for callers whose request is refused.
     static constexpr const char* refusalReason = "replicas that ran this very request have crashed, so it is not run again";
 
-    /// The replica has crashed under the request, as this process saw. \returns what is news to the controllers.
+    /// Records that this process saw the replica crash while running the request. \returns what to report to the controllers.
     CrashReport noteCrash(RequestFingerprint, const ReplicaRun&, Duration ranFor, Instant now);
-    /// The request was answered whole. \returns the same: nothing unless this cleared a crash.
+    /// Records a complete response to the request. \returns what to report; empty unless this cleared a crash.
     CrashReport noteServed(RequestFingerprint, Instant now);
-    /// Takes what another process knows. \returns what of it was news.
+    /// Merges another process's report. \returns the part of it that was new.
     CrashReport take(const CrashReport&, Instant now);
-    /// Clears the crashes of replicas that were heard of since, and forgets what is old.
+    /// Clears the crashes of replicas from which something was received since, and removes expired entries.
     void dropRefuted(const ReplicaRegistry&, Instant now);
     void removeExpired(Instant now);
 
     [[nodiscard]] Status statusOf(RequestFingerprint, Instant now) const;
-    /// The request and the replicas that have crashed under it, for a log.
+    /// The request and the replicas that have crashed while running it, for a log.
     [[nodiscard]] std::string text(RequestFingerprint) const;
-    /// All that another process needs to judge the request alike; added to `report`.
+    /// Adds to `report` all that another process needs to compute the same status of the request.
     void describe(RequestFingerprint, CrashReport& report, Instant now) const;
-    /// The same of all requests whose standing is at least this.
+    /// The same for all requests whose status is at least `atLeast`.
     [[nodiscard]] CrashReport describeAll(Status atLeast, Instant now) const;
     [[nodiscard]] std::size_t size() const { return m_requests.size(); }
 
@@ -81,19 +82,19 @@
         ReplicaRun run;
         Instant began;
         Instant at;
-        bool isCleared = false; ///< It does not count any more, and is only remembered.
+        bool isCleared = false; ///< It no longer counts, and is kept only to recognize it as known.
     };
     struct Request {
-        std::vector<Crash> crashes; ///< In order of time; of each run the first that was told.
-        Instant servedAt; ///< The last whole answer; the beginning of time if there was none.
+        std::vector<Crash> crashes; ///< By time; for each run the first that was reported.
+        Instant servedAt; ///< Of the last complete response; `Instant()` if there was none.
     };
-    /// What follows from a list of crashes.
+    /// The result of evaluating a request's list of crashes.
     struct Evaluation {
         std::size_t counted = 0;
         Instant refusedUntil;
     };
     [[nodiscard]] static Evaluation evaluate(const Request&);
-    /// When something came of it last, or its refusal ends.
+    /// The time of the last crash or complete response, or the end of the refusal if that is later.
     [[nodiscard]] static Instant lastActivity(const Request&);
     bool add(RequestFingerprint, Crash);
     bool clear(RequestFingerprint, Instant servedAt);
--- a/src/request/fleet/DecayingRate.h
+++ b/src/request/fleet/DecayingRate.h
@@ -1,5 +1,5 @@
 /** \file
- * How much of something is used a second, over the last few seconds.
+ * Exponentially weighted average rate.
  */
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace wrenhinge {
 
-/// What was used fades with age: after `memory` to a third.
+/// Average usage per second. Each amount decays exponentially, to about a third (1/e) after `timeConstant`.
 class DecayingRate {
 public:
     explicit DecayingRate(Duration timeConstant)
@@ -24,7 +24,7 @@
     }
     [[nodiscard]] double perSecond(Instant now) const { return decayed(now) / toSeconds(m_timeConstant); }
 
-    /// The part of a steady use that the rate shows when it has been watched for so long.
+    /// The fraction of a steady usage that `perSecond` has reached this long after the first amount.
     [[nodiscard]] double convergenceAfter(Duration time) const { return 1 - std::exp(-toSeconds(time) / toSeconds(m_timeConstant)); }
 
 private:
--- a/src/request/fleet/InheritedReserve.h
+++ b/src/request/fleet/InheritedReserve.h
@@ -1,9 +1,9 @@
 /** \file
- * What a controller that has just started sets aside for gateways that its former run, or another controller, did not hear.
+ * What a controller that has just started reserves for gateways that were already unreachable for its former run or for another controller.
  *
- * A controller that starts during a cut knows only the gateways on its side. Those on the other side go on by their parts of each limit
- * (AccountQuota), so were nothing set aside for them, both sides together would use more than the limit. The gateways on this side were
- * told what was set aside before, and report it with their use.
+ * A controller that starts during a network partition knows only the gateways on its side. Those on the other side continue with their
+ * shares of each limit (AccountQuota), so without a reservation both sides together would exceed the limit. The gateways on this side
+ * received the earlier reservations in broadcasts, and report them with their usage.
  */
 #pragma once
 
@@ -16,25 +16,27 @@
 
 class InheritedReserve {
 public:
-    /// \param reservationPeriod for how long a gateway that is not heard has its part set aside.
+    /// \param reservationPeriod for how long the share of an unreachable gateway is reserved.
     explicit InheritedReserve(Duration reservationPeriod)
         : m_reservationPeriod(reservationPeriod)
     {
     }
 
     void take(const QuotaReport&, Instant now);
-    /// What is set aside of the account's limit, a second. It gets less with each of those gateways that comes back.
-    /// \param gateways that this controller knows itself.
+    /// The part of the account's limit that is reserved, per second. It shrinks with each of the gateways that reconnects.
+    /// \param gateways that this controller itself counts.
     [[nodiscard]] double perSecond(AccountId, double limit, std::uint32_t gateways, Instant now) const;
 
 private:
-    /// Gateways find a new controller, and report, within this time. What they report later they may have been told by it.
+    /// Gateways find a new controller and report to it within this time. Reservations in later reports may come from its own broadcasts, so
+    /// they are ignored.
     static constexpr Duration learningPeriod = 3s;
-    /// Gateways that were counted before and have not come by then are not heard, though nobody may have noticed before the start.
+    /// Gateways that were counted before and have not connected within this time are unreachable, even if no controller had noticed that
+    /// before the start.
     static constexpr Duration missingAfter = 2s;
 
     Duration m_reservationPeriod;
-    std::optional<Instant> m_firstReportAt; ///< The first report.
+    std::optional<Instant> m_firstReportAt; ///< When the first report arrived.
     GatewaysSeen m_gatewaysSeen;
     std::unordered_map<AccountId, double> m_perSecond;
 };
--- a/src/request/fleet/QuotaAggregator.cpp
+++ b/src/request/fleet/QuotaAggregator.cpp
@@ -17,25 +17,25 @@
         return;
     auto former = std::move(it->second);
     m_gateways.erase(it);
-    // A newer run may have linked before the end of the former one was seen.
+    // A newer run may have connected before this controller noticed the end of the former one.
     bool isReplaced = std::any_of(m_gateways.begin(), m_gateways.end(), [&](const auto& item) { return item.second.name == former.name; });
     if (auto lost = m_lostGateways.find(former.name); lost != m_lostGateways.end())
-        lost->second.isLinked = false;
+        lost->second.isConnected = false;
     else if (!isReplaced)
         markLost(former, false, now);
 }
 
-void QuotaAggregator::markLost(const Gateway& gateway, bool isLinked, Instant now)
+void QuotaAggregator::markLost(const Gateway& gateway, bool isConnected, Instant now)
 {
-    auto n = gatewayCount() + (isLinked ? 0 : 1);
+    auto n = gatewayCount() + (isConnected ? 0 : 1);
     auto snapshotsAgo = std::min<std::size_t>((now - gateway.lastHeardAt) / snapshotInterval, Account().snapshots.size() - 1);
-    LostGateway lost { now, isLinked, {} };
+    LostGateway lost { now, isConnected, {} };
     for (const auto& [id, account] : m_accounts) {
         auto usage = gateway.usages.find(id);
         auto own = usage != gateway.usages.end() ? usage->second.rate.perSecond(gateway.lastHeardAt) : 0;
         auto [rate, reserved] = account.snapshots[snapshotsAgo];
         auto all = std::max(own, rate);
-        // By next to no use, the first request after a pause would decide who has the whole limit.
+        // Without this, the gateway of the first request after a pause would have almost the whole usage-weighted part of the limit.
         bool isIdle = all < idleFraction * account.limit;
         lost.reservations[id] = isIdle ? account.limit / n : quota::isolatedShare(account.limit, reserved, own, all, n);
     }
@@ -44,7 +44,7 @@
 
 std::uint32_t QuotaAggregator::gatewayCount() const
 {
-    auto unlinked = std::count_if(m_lostGateways.begin(), m_lostGateways.end(), [](const auto& item) { return !item.second.isLinked; });
+    auto unlinked = std::count_if(m_lostGateways.begin(), m_lostGateways.end(), [](const auto& item) { return !item.second.isConnected; });
     return static_cast<std::uint32_t>(m_gateways.size()) + static_cast<std::uint32_t>(unlinked);
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// Links may be mute without having ended.
+/// A connection may stay open while nothing arrives on it.
 void QuotaAggregator::detectSilentGateways(Instant now)
 {
     for (const auto& [id, gateway] : m_gateways) {
@@ -110,7 +110,7 @@
 {
     double sum = m_inherited.perSecond(id, account.limit, gatewayCount(), now);
     for (const auto& [name, lost] : m_lostGateways) {
-        // Nobody used an account that was not known then.
+        // An account that was not known when the gateway was lost had no usage then.
         auto it = lost.reservations.find(id);
         sum += it != lost.reservations.end() ? it->second : account.limit / gatewayCount();
     }
@@ -149,8 +149,8 @@
     }
 }
 
-/// A controller that has just started does not know which accounts are busy, and says nothing. Gateways that it told that none is would
-/// forget what the others use, and those that are cut off then take too large a part.
+/// A controller that has just started does not know which accounts are busy, and sends nothing. If it reported that none is, gateways would
+/// discard the usage of the others, and those that are isolated next would compute too large a share.
 bool QuotaAggregator::knowsBusyAccounts(Instant now) const { return m_startedAt && now - *m_startedAt >= warmUpPeriod; }
 
 QuotaTotals QuotaAggregator::totalsFor(Gateway& gateway, Instant now)
@@ -169,8 +169,8 @@
 AccountTotal QuotaAggregator::totalFor(AccountId id, const Account& account, Usage& usage, Instant now)
 {
     bool wasSentRecently = now - usage.sentAt <= 3 * quota::broadcastInterval;
-    // Soon after the start the rates show little of what goes on; by less of the others' use, gateways that are cut off then would take
-    // their own parts for larger than they are.
+    // Soon after the start the averages are still too low. They are scaled up, since gateways that are isolated then would compute too
+    // large a share from too low a usage of the others.
     auto convergence = account.rate.convergenceAfter(now - *m_startedAt);
     auto ownSinceSnapshot = usage.snapshot == m_snapshotNumber ? usage.used - usage.usedAtSnapshot : 0;
     auto others = wasSentRecently ? (account.total - usage.sentTotal) - (usage.used - usage.sentUsed)
--- a/src/request/fleet/QuotaAggregator.h
+++ b/src/request/fleet/QuotaAggregator.h
@@ -1,13 +1,14 @@
 /** \file
- * What a controller does with the gateways' reports of what client accounts use: adds them up, and tells each gateway of the others.
+ * A controller's aggregation of the account usage that gateways report: adds it up and sends each gateway the usage of the others.
  *
- * Every gateway reports to every controller, so each controller knows all that reaches its side of a cut, and any of them can take over the
- * telling. It keeps no limits of its own: which account is near its limit it learns from the reports. Accounts far below cost one
- * report now and then from the gateways that they use, and no telling at all, but to a gateway that asks since it has much of an account.
+ * Every gateway reports to every controller, so each controller knows all usage on its side of a network partition, and any of them can
+ * take over the broadcasts. It has no configuration of limits: the reports say which account is near its limit. Accounts far below their
+ * limits cost occasional reports from the gateways that their callers use, and no broadcasts, except to a gateway that requests a total
+ * because it handles a large part of an account.
  *
- * A gateway that is no longer heard may go on by itself (AccountQuota). The part that it may use is told as set aside, until it is
- * heard again, another run of it comes, or it has been away for so long that it is taken to have ended. A controller that starts during a
- * cut learns from its gateways what was set aside before (InheritedReserve).
+ * A gateway that is no longer reachable may continue in isolation (AccountQuota). The share that it may use is broadcast as reserved until
+ * it reports again, another run of it connects, or it has been unreachable for so long that it is assumed to have ended. A controller that
+ * starts during a partition learns earlier reservations from its gateways (InheritedReserve).
  */
 #pragma once
 
@@ -27,27 +28,30 @@
 
 class QuotaAggregator {
 public:
-    /// A gateway that was not heard of for this long is taken to have ended. Cuts between regions last minutes, but a part of 1 in so many
-    /// gateways that is missing is less harm than one that nobody gets.
+    /// A gateway that has been unreachable for this long is assumed to have ended. Partitions between regions last minutes, but exceeding
+    /// the limit by the share of one among many gateways does less harm than withholding that share from all of them.
     static constexpr Duration reservationPeriod = 60s;
-    /// A gateway reports twice a second at least; one that has missed two of them is not heard.
+    /// Gateways report at least twice a second; one from which two reports are missing is unreachable.
     static constexpr Duration silentAfter = 1100ms;
 
     void connected(PeerId gateway, const std::string& name);
     void disconnected(PeerId gateway, Instant now);
+    /// Adds a gateway's report.
     void take(PeerId gateway, const QuotaReport&, Instant now);
-    /// What to tell whom; call it every `quota::broadcastInterval`.
+    /// Returns the totals to send, with their recipients. Call it every `quota::broadcastInterval`.
     std::vector<std::pair<PeerId, QuotaTotals>> tell(Instant now);
 
 private:
-    /// Sooner after its start a controller's rates are those of a few requests.
+    /// Earlier after its start a controller's rates come from a few requests only.
     static constexpr Duration warmUpPeriod = 500ms;
-    /// Use is kept apart from this time on, so that a gateway that was not told lately can be told of the last moments alone.
+    /// Interval of the usage snapshots. A gateway that has received no total lately is sent only the usage since the last snapshot.
     static constexpr Duration snapshotInterval = 250ms;
+    /// Time constant of the average usage by which an account is busy or not.
     static constexpr Duration busyTimeConstant = 500ms;
-    /// An account that uses less than this part of its limit is shared out alike to all gateways.
+    /// If an account uses less than this fraction of its limit, all gateways have the same share.
     static constexpr double idleFraction = 0.01;
-    /// An account that was busy, or that a gateway asked for, is told of for this long: it would change with every request else.
+    /// An account that was busy, or requested by a gateway, is broadcast for this long. Without it the state would change with every
+    /// request.
     static constexpr Duration busyHoldTime = 1s;
 
     struct Account {
@@ -63,15 +67,15 @@
         std::array<Snapshot, 8> snapshots {};
         DecayingRate recent { busyTimeConstant };
         DecayingRate rate { quota::usageTimeConstant };
-        double reserved = 0; ///< As of this telling, the same for all who are told.
+        double reserved = 0; ///< Computed once per broadcast, for all recipients.
         Instant busyUntil;
         enum class BusyState : std::uint8_t { NotBusy, Busy, NoLongerBusy };
-        BusyState busyState = BusyState::NotBusy; ///< Of this telling.
+        BusyState busyState = BusyState::NotBusy; ///< For the current broadcast.
     };
     struct Usage {
         double used = 0;
         double usedAtSnapshot = 0;
-        std::uint64_t snapshot = 0; ///< To which `usedAtSnapshot` belongs.
+        std::uint64_t snapshot = 0; ///< The number of the snapshot of `usedAtSnapshot`.
         DecayingRate rate { quota::usageTimeConstant };
         double sentTotal = 0;
         double sentUsed = 0;
@@ -84,16 +88,16 @@
         bool wantsTotals = false;
         bool asksForAll = false;
         std::unordered_map<AccountId, Usage> usages;
-        std::set<AccountId> requested; ///< Accounts that it may have asked for of late.
+        std::set<AccountId> requested; ///< Accounts that it may have requested within `busyHoldTime`.
     };
-    /// A gateway that is not heard, and what it may use a second.
+    /// An unreachable gateway, and what it may use per second.
     struct LostGateway {
         Instant at;
-        bool isLinked = false; ///< The link is mute.
+        bool isConnected = false; ///< Its connection is open, but nothing arrives.
         std::unordered_map<AccountId, double> reservations;
     };
 
-    void markLost(const Gateway&, bool isLinked, Instant now);
+    void markLost(const Gateway&, bool isConnected, Instant now);
     void detectSilentGateways(Instant now);
     void takeSnapshot(Instant now);
     [[nodiscard]] double reserved(AccountId, const Account&, Instant now) const;
@@ -106,10 +110,10 @@
 
     std::unordered_map<AccountId, Account> m_accounts;
     std::map<PeerId, Gateway> m_gateways;
-    std::map<std::string, LostGateway> m_lostGateways; ///< By the gateway's name, which stays over its restarts.
-    std::optional<Instant> m_startedAt; ///< With the first report.
+    std::map<std::string, LostGateway> m_lostGateways; ///< By the gateway's name, which it keeps when it restarts.
+    std::optional<Instant> m_startedAt; ///< When the first report arrived.
     InheritedReserve m_inherited { reservationPeriod };
-    std::vector<AccountId> m_broadcastAccounts; ///< Accounts that this telling is of, whoever is told.
+    std::vector<AccountId> m_broadcastAccounts; ///< Accounts that the current broadcast contains for every recipient.
     std::uint64_t m_snapshotNumber = 0;
     Instant m_snapshotAt;
 };
--- a/src/request/fleet/RegistryFollower.cpp
+++ b/src/request/fleet/RegistryFollower.cpp
@@ -27,7 +27,7 @@
         return std::nullopt;
     m_pendingPeer.reset();
     for (auto& [id, peer] : m_peers) {
-        // One that has just started knows nothing, and says so.
+        // A peer that has just started has an empty list.
         bool hasOtherList = peer.digest && peer.digest != digest && peer.known;
         if (!hasOtherList || (peer.queriedAt && now - *peer.queriedAt < retryInterval))
             continue;
--- a/src/request/fleet/RegistryFollower.h
+++ b/src/request/fleet/RegistryFollower.h
@@ -1,12 +1,11 @@
 /** \file
- * Whom to ask for the list of all replicas, when what is known here differs from what another process knows.
+ * Decides which peer to query for the list of all replicas when the digest of its list differs from the digest here.
  *
- * A link that comes up is told a digest of the list, and asks for the list only if its own differs. What goes wrong otherwise: each
- * controller told all replicas one by one to a link that came up. With 10 controllers and 185 replicas a gateway that starts hears 1,850
- * messages, and is late in the very second after a loss of all instances. One notices by first answers that come later than the processes
- * are up.
+ * A peer that connects sends a digest of its list, and the list is requested only if the digests differ. Earlier, each controller sent all
+ * replicas one by one to each peer that connected. With 10 controllers and 185 replicas, a gateway that started received 1,850 messages and
+ * was late to serve in the second after a loss of all instances: processes were up, but the first responses came later.
  *
- * A process asks one of those that differ at a time, as after a start all do, and the first answer makes most of them agree.
+ * One peer is queried at a time. After a start all of them differ, and the first list makes most of them agree.
  */
 #pragma once
 
@@ -21,20 +20,23 @@
 
 class RegistryFollower {
 public:
-    /// A list of 10,000 replicas is a megabyte and takes a second over 10 Mbit/s, but its answer begins at once; one that has not come
-    /// within this is taken for lost, and another process is asked.
+    /// A list of 10,000 replicas is a megabyte and takes a second over 10 Mbit/s, but the response begins at once. If none has arrived
+    /// within this time it is considered lost, and another peer is queried.
     static constexpr Duration responseTimeout = 400ms;
-    /// A process whose list still differs after it was told is asked again after this: as often as all was told before.
+    /// A peer whose digest still differs after it sent its list is queried again after this time. Full lists were sent once a second before
+    /// there were digests.
     static constexpr Duration retryInterval = 1s;
 
-    /// \param digest of all that the peer knows; zero: it does not say. \param known how many replicas that are.
+    /// \param digest of the peer's list; zero if it sends none.
+    /// \param known how many replicas the list has.
     void digestReceived(PeerId peer, std::uint64_t digest, std::uint32_t known);
-    /// The peer has sent its list.
+    /// The peer's list has arrived.
     void listReceived(PeerId peer);
     void disconnected(PeerId peer);
-    /// Whom to ask now, if anybody. \param digest of what is known here.
+    /// The peer to query now, if any.
+    /// \param digest of the list here.
     std::optional<PeerId> nextPeerToQuery(std::uint64_t digest, Instant now);
-    /// When an answer is overdue and another peer may be asked.
+    /// When the pending response times out and another peer may be queried.
     [[nodiscard]] Instant nextWake() const;
 
 private:
@@ -45,7 +47,7 @@
     };
 
     std::map<PeerId, Peer> m_peers;
-    std::optional<PeerId> m_pendingPeer; ///< Whose answer is waited for.
+    std::optional<PeerId> m_pendingPeer; ///< The peer whose response is pending.
     Instant m_queriedAt;
 };
 
--- a/src/request/fleet/ReplicaRegistry.cpp
+++ b/src/request/fleet/ReplicaRegistry.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-    /// Whether a change of these fields is worth telling everybody at once.
+    /// Compares the fields whose changes are sent to all peers immediately.
     bool hasSameState(const Announcement& a, const Announcement& b)
     {
         return a.service == b.service && a.address == b.address && a.zone == b.zone && a.slots == b.slots && a.state == b.state
             && a.kind == b.kind;
     }
 
-    /// What is news, as hasSameState has it, and a change of stage that is under way.
+    /// Covers the fields that hasSameState compares, and a pending stage change.
     std::uint64_t digestOf(const ReplicaRegistry::Entry& entry)
     {
         const auto& a = entry.announcement;
@@ -36,11 +36,11 @@
     if (hasEnded(run) || (known && run.isBefore(*known)))
         return Change::None;
     if (!known || known->isBefore(run)) {
-        // Should the new run fall silent and be forgotten, a late announcement must not bring the former one back.
+        // If the entry of the new run expires, a late announcement must not bring the former run back.
         if (known)
             m_withdrawn.insert_or_assign(run.id, EndedRun { known->start, now });
         invalidateDigest();
-        // An entry of its own: neither an order nor a renewal of a former run counts for this one.
+        // Replaces the entry, since neither a stage change nor a renewal of the former run applies to the new one.
         m_entries.insert_or_assign(run.id, Entry { announcement, now - age, {}, {} });
         return known ? Change::Restarted : Change::Changed;
     }
@@ -78,7 +78,7 @@
 
 std::optional<ReplicaRun> ReplicaRegistry::newestRun(const std::string& id) const
 {
-    // An entry is always newer than what has ended of its id.
+    // An entry is always newer than the ended run of its id.
     if (auto it = m_entries.find(id); it != m_entries.end())
         return it->second.announcement.run();
     if (auto it = m_withdrawn.find(id); it != m_withdrawn.end())
@@ -109,7 +109,7 @@
     }
     auto distance = heartbeat.startedAfter.begin();
     for (const auto& [id, age] : heartbeat.ages) {
-        // A process of a release without starts names none, and knows none either.
+        // A process of a release without run starts sends none, and its entries have none either.
         auto after = distance == heartbeat.startedAfter.end() ? 0 : *distance++;
         renew({ id, ReplicaStart(heartbeat.earliest.value() + after) }, age, now);
     }
@@ -148,7 +148,7 @@
     return list;
 }
 
-/// A sum, so that the order does not matter.
+/// A sum, so that the order of the entries does not matter.
 std::uint64_t ReplicaRegistry::digest() const
 {
     if (m_digest)
@@ -175,7 +175,7 @@
 {
     // The digest of 10,000 replicas takes 2.3 ms, and this is called with each heartbeat of each controller.
     bool hasChanged = std::erase_if(m_entries, [now](const auto& item) { return item.second.isExpired(now); }) > 0;
-    // A change that was not carried out is over everywhere, or the digests would differ from that of a process that started after it.
+    // Resets stage changes that have expired. Otherwise the digest would differ from that of a process that started afterwards.
     for (auto& [id, entry] : m_entries) {
         bool isOver = entry.pendingStage && !entry.isChanging(now);
         if (isOver)
@@ -187,9 +187,9 @@
     std::erase_if(m_withdrawn, [now](const auto& item) { return item.second.isExpired(now); });
 }
 
-/// What was to be forgotten by now must not depend on when this process last did so. A run whose clock was set back is taken by one
-/// controller at that moment and told to all others once; one that had not tidied up since would not take it, and never hear of it
-/// again.
+/// Whether an entry counts as expired must not depend on when this process last called removeExpired(). A run whose clock was set back is
+/// accepted by one controller as soon as the former entry has expired there, and is passed on to all others once. A controller that had not
+/// cleaned up by then would reject it, and never receive it again.
 void ReplicaRegistry::removeIfExpired(const std::string& id, Instant now)
 {
     if (auto it = m_entries.find(id); it != m_entries.end() && it->second.isExpired(now)) {
--- a/src/request/fleet/ReplicaRegistry.h
+++ b/src/request/fleet/ReplicaRegistry.h
@@ -1,20 +1,20 @@
 /** \file
- * What is known of the replicas from their own announcements: soft state that controllers and gateways keep alike.
+ * The replicas known from their own announcements: soft state that both controllers and gateways keep.
  *
- * Announcements may come late, twice and out of order, over several controllers, and a replica may start again under its id. So
- * what is known belongs to a run: of one id the run with the latest start counts, and of one run the highest sequence. By the
- * sequence alone a replica that starts again, and counts anew, would be taken for its former run until its count has passed that
- * one's: callers are sent to an address and a stage that it no longer has, and a replica that had withdrawn itself is never used
- * again. Comparing the starts first also makes any two processes that have heard of the same runs agree, in whatever order they
- * heard of them.
+ * Announcements may arrive late, more than once and out of order, through several controllers, and a replica may restart under the same id.
+ * So entries belong to a run: among the runs of an id the one with the latest start counts, and within a run the announcement with the
+ * highest sequence number. By sequence number alone, a replica that restarts and counts from the beginning would be taken for its former
+ * run until it has passed that run's number: requests would go to an address and a stage that it no longer has, and a replica that had
+ * withdrawn would never be used again. Comparing the starts first also makes any two processes that have received announcements of the same
+ * runs agree, in whatever order these arrived.
  *
- * A run that was withdrawn, or was followed by a newer one, never comes back. Two ids may name the same address for a while, since
- * an announcement that a cut delayed arrives after its sender has ended; both stay known, and the one that is no longer renewed
- * ages out. Whoever sends to a replica names the id it means, so a wrong guess runs nothing at another replica.
+ * A run that was withdrawn, or superseded by a newer one, never returns. Two ids may have the same address for a while, since an
+ * announcement that a network partition delayed may arrive after its sender has ended. Both entries are kept, and the one that is no longer
+ * renewed expires. Requests to a replica carry the id of their target, so one that reaches the wrong replica is not run there.
  *
- * The start is told by the replica's own clock. If that was set back before a restart, the new run looks like a former one and is
- * not believed until the entry of the run that has the later start is forgotten. The other way round, by believing whoever spoke
- * last, each announcement that a cut delayed would bring an ended run back.
+ * The start is read from the replica's own clock. If that was set back before a restart, the new run looks like a former one and is ignored
+ * until the entry of the run with the later start expires. If the latest arrival counted instead, each announcement that a partition
+ * delayed would bring an ended run back.
  */
 #pragma once
 
@@ -28,37 +28,39 @@
 
 class ReplicaRegistry {
 public:
-    /// Replicas announce themselves every 1.2 s and some announcements come seconds late; one that has been silent for three of
-    /// them is taken for gone.
+    /// Replicas announce themselves every 1.2 s, and some announcements are seconds late. A replica from which three are missing is
+    /// considered unreachable.
     static constexpr Duration silentAfter = 4500ms;
-    /// A replica that runs was heard of within this time: two announcements of 1.2 s.
+    /// Something is received from a running replica within this time: two announcements of 1.2 s.
     static constexpr Duration overdueAfter = 2400ms;
-    /// A run that was heard of within this time need not be named to a gateway that knows it too: announcements come every 1.2 s, and some
-    /// hundred ms late. It takes it to have been heard of `assumedAge` ago, which is wrong by 0.8 s at most, of the 4.5 s to silence.
+    /// A run that was heard from within this time is left out of heartbeats to gateways that know it too: announcements come every 1.2 s,
+    /// and some are a few hundred ms late.
     static constexpr Duration freshFor = 1600ms;
+    /// The age that the recipient of a heartbeat assumes for a run that was left out. It is wrong by at most 0.8 s, of the 4.5 s of
+    /// `silentAfter`.
     static constexpr Duration assumedAge = freshFor / 2;
-    /// An entry that nobody renewed for this long is dropped. Far above the seconds by which announcements are late.
+    /// An entry that was not renewed for this long is removed. Announcements are late by seconds, far less than this.
     static constexpr Duration expiredAfter = 60s;
-    /// Withdrawn runs are remembered for this long, so that no late announcement revives one.
+    /// Withdrawn runs are kept for this long, so that no late announcement revives one.
     static constexpr Duration withdrawnRetention = 300s;
 
     struct Entry {
         Announcement announcement;
         Instant lastHeardAt;
-        std::optional<UpstreamKind> pendingStage; ///< It was ordered to change its stage and has not announced the new one.
-        Instant changeExpiresAt; ///< It is taken for what it announces then, whatever became of the order.
+        std::optional<UpstreamKind> pendingStage; ///< The stage that the replica was ordered to change to and has not announced yet.
+        Instant changeExpiresAt; ///< From then on the announced stage counts, whether or not the order was carried out.
 
         [[nodiscard]] bool isChanging(Instant now) const { return pendingStage && changeExpiresAt > now; }
-        /// It missed an announcement, so that it may have crashed.
+        /// An announcement is missing, so the replica may have crashed.
         [[nodiscard]] bool isOverdue(Instant now) const { return now - lastHeardAt > overdueAfter; }
-        /// It may be gone: neither remembered nor counted, and sent to only if there is no other.
+        /// The replica is considered unreachable: it is neither persisted nor counted, and requests go to it only if there is no other.
         [[nodiscard]] bool isSilent(Instant now) const { return now - lastHeardAt > silentAfter; }
         [[nodiscard]] bool isExpired(Instant now) const { return now - lastHeardAt > expiredAfter; }
     };
     /// The newest run of an id that is known to have ended.
     struct EndedRun {
         ReplicaStart start;
-        Instant at; ///< When this process heard of it.
+        Instant at; ///< When this process learned that it ended.
 
         [[nodiscard]] bool isExpired(Instant now) const { return now - at > withdrawnRetention; }
     };
@@ -66,36 +68,37 @@
         None,
         Renewed,
         Changed,
-        Restarted, ///< This run is newer than the one that was known or withdrawn: nothing that was believed of that one holds.
+        Restarted, ///< This run supersedes the one that was known or withdrawn; state about that one must be discarded.
     };
 
+    /// Applies an announcement that was sent `age` ago.
     Change announce(const Announcement&, Duration age, Instant now);
-    /// The run has ended, and those before it. \returns whether that was not known.
+    /// Marks the run and those before it as ended. \returns whether that was new.
     bool withdraw(const ReplicaRun&, Instant now);
-    /// Somebody heard of the run `age` ago.
+    /// Renews a run from which some process received something `age` ago.
     void renew(const ReplicaRun&, Duration age, Instant now);
-    /// Renews the runs that another process has heard of.
+    /// Renews runs by another process's heartbeat.
     void renew(const RegistryHeartbeat&, Instant now);
-    /// Which runs a heartbeat names. Whoever renews a run that is not named believes it to be fresher than it may be, and must pass that on
-    /// to nobody: two controllers that did so to each other renewed a run that had ended for ever, and callers were sent to its address,
+    /// Which runs a heartbeat lists. A process that renews a run that is not listed may take it to be fresher than it is, and must not pass
+    /// that on: two controllers that did so to each other renewed a run that had ended forever, and requests were sent to its address,
     /// which another replica had by then.
     enum class HeartbeatScope : std::uint8_t {
-        All, ///< For controllers, which tell others in turn.
-        Stale, ///< For gateways, which tell nobody.
+        All, ///< For controllers, which pass ages on.
+        Stale, ///< Only runs not heard from within `freshFor`; for gateways, which pass nothing on.
     };
-    /// What renews all that is known here at a process with the same digest.
+    /// A heartbeat that renews all entries at a process with the same digest.
     [[nodiscard]] RegistryHeartbeat heartbeat(HeartbeatScope, Instant now) const;
-    /// All that another process needs to know the same.
+    /// All entries and ended runs, from which another process reaches the same state.
     [[nodiscard]] RegistryList list(Instant now) const;
-    /// The same at any two processes that know the same runs, addresses, states and changes of stage; never zero.
+    /// Equal at any two processes that know the same runs, addresses, states and pending stage changes; never zero.
     [[nodiscard]] std::uint64_t digest() const;
-    /// \returns whether this was news.
+    /// Records that the replica was ordered to change its stage. \returns whether this was new.
     bool changeStage(const StageChange&, Instant now);
     void removeExpired(Instant now);
 
-    /// The newest run of the id that is known, whether it goes on or has ended.
+    /// The newest known run of the id, whether it still runs or has ended.
     [[nodiscard]] std::optional<ReplicaRun> newestRun(const std::string& id) const;
-    /// The entry of this very run; nullptr if it is not known, has ended, or has started again.
+    /// The entry of exactly this run; nullptr if it is not known, has ended or was superseded by a newer run.
     [[nodiscard]] const Entry* find(const ReplicaRun&) const;
     [[nodiscard]] const std::map<std::string, Entry>& entries() const { return m_entries; }
     [[nodiscard]] const std::map<std::string, EndedRun>& withdrawn() const { return m_withdrawn; }
@@ -106,7 +109,7 @@
     void removeIfExpired(const std::string& id, Instant now);
 
     std::map<std::string, Entry> m_entries;
-    mutable std::uint64_t m_digest = 0; ///< Zero: to be worked out anew.
+    mutable std::uint64_t m_digest = 0; ///< Cached; zero if it has to be computed again.
     std::map<std::string, EndedRun> m_withdrawn;
 };
 
--- a/src/request/fleet/RequestFingerprint.cpp
+++ b/src/request/fleet/RequestFingerprint.cpp
@@ -4,7 +4,7 @@
 
 namespace wrenhinge {
 
-/// Each part is hashed with what came before it as its seed, so that none can end where another one begins.
+/// Each part is hashed with the hash of the preceding parts as the seed, so that moving bytes from one part to the next changes the result.
 RequestFingerprint fingerprintOf(const RequestParts& parts)
 {
     std::uint64_t hash = 0;
--- a/src/request/fleet/SharedRetryBudget.h
+++ b/src/request/fleet/SharedRetryBudget.h
@@ -1,12 +1,12 @@
 /** \file
- * Bounds what all gateways together send beyond the first send of each request, by service.
+ * Limits the retries that all gateways together send, by service.
  *
- * Under trouble every resend adds load where load is the trouble. The site's bound holds for all gateways in any window; a
- * gateway knows only its own sends, so it takes the ratio on its own requests and its share of the fixed slack. Both are
- * used to four fifths, since gateways come and go while the others still count with the former number.
+ * During an overload every retry adds to the load. The site's limit holds for all gateways together in any window. A gateway knows only its
+ * own requests, so it may use the ratio of its own requests and its share of the fixed slack. Only four fifths of both are used, since
+ * gateways start and stop while the others still compute with the former number.
  *
- * Example: ratio 0.2, slack 60, window 10 s, 8 gateways: one that passed on 100 requests in the last 10 s may send
- * 0.8 * (0.2 * 100 + 60 / 8) = 22 of them once more.
+ * Example: ratio 0.2, slack 60, window 10 s, 8 gateways: one that forwarded 100 requests in the last 10 s may send
+ * 0.8 * (0.2 * 100 + 60 / 8) = 22 retries.
  */
 #pragma once
 
@@ -28,9 +28,9 @@
 
 class SharedRetryBudget {
 public:
-    /// Gateways that share what is bounded for all until a controller says how many there are: about as many as the largest sites have.
-    /// With fewer, all gateways of a site that has lost its power would send more than is allowed together, and callers' requests be
-    /// repeated where replicas can least bear it.
+    /// The number of gateways assumed until a controller reports it: about as many as the largest sites have. With a smaller number, the
+    /// gateways of a site that restarts after a power loss would together exceed the limit, and retries would come when replicas can least
+    /// handle them.
     static constexpr std::uint32_t assumedGateways = 100;
 
     explicit SharedRetryBudget(RetryBudgetSettings settings = {})
@@ -39,23 +39,24 @@
     }
 
     void countRequest(const std::string& service, Instant now);
-    /// Takes one resend from the budget. \returns false if there is none left.
+    /// Takes one retry from the budget. \returns false if the budget is used up.
     bool take(const std::string& service, Instant now);
-    /// Counts a send that was one beyond the first, as its answer showed. It may take more than there is, and then none is left for others.
+    /// Counts a send that turned out to be a retry when its response arrived. The budget may become negative, and then allows no others.
     void charge(const std::string& service, Instant now) { currentWindow(service, now).resends.push_back(now); }
-    /// What may still be sent in this window; negative after more was charged.
+    /// The number of retries that remain in this window; negative after more were charged.
     [[nodiscard]] double remaining(const std::string& service, Instant now);
     [[nodiscard]] std::map<std::string, double> remainingByService(Instant now);
-    /// A controller says how many gateways there are. A smaller number counts only once no larger one was told for a window: those that
-    /// have ended have used their share of it, and a controller that has just started counts those that have found it so far.
+    /// Sets the number of gateways that a controller reports. A smaller number is used only once no larger one was reported for a window:
+    /// gateways that have ended have used their share of the window, and a controller that has just started counts only the gateways that
+    /// have connected so far.
     void setGateways(std::uint32_t n, Instant now);
-    /// How many gateways share what is bounded for all together.
+    /// The number of gateways that share the limit.
     [[nodiscard]] std::uint32_t gateways() const { return m_gateways; }
 
 private:
     static constexpr double usableFraction = 0.8;
-    /// The part of it that a gateway uses in the first window after its start: it does not know what its former run sent in that window.
-    /// If all gateways start at once, both runs together would else send more than is allowed.
+    /// The fraction that a gateway uses in the first window after its start, since it does not know what its former run sent in that
+    /// window. Otherwise, if all gateways restarted at the same time, both runs together would exceed the limit.
     static constexpr double usableFractionAfterStart = 0.4;
 
     struct Window {
@@ -68,7 +69,7 @@
     RetryBudgetSettings m_settings;
     std::uint32_t m_gateways = assumedGateways;
     std::optional<Instant> m_startedAt; ///< When the first request was counted.
-    std::optional<Instant> m_gatewaysUpdatedAt; ///< When `m_gateways` was told last, or more.
+    std::optional<Instant> m_gatewaysUpdatedAt; ///< When `m_gateways` or a larger number was last reported.
     std::map<std::string, Window> m_windows;
 };
 
