--- a/src/request/fleet/CrashExchange.cpp
+++ b/src/request/fleet/CrashExchange.cpp
@@ -8,21 +8,21 @@
 
 CrashExchange::Updates CrashExchange::take(const CrashReport& report, Instant now)
 {
-    Updates told;
-    told.controllers = m_tracker.take(report, now);
+    Updates updates;
+    updates.controllers = m_tracker.take(report, now);
     std::set<RequestFingerprint> requests;
-    for (const auto& crash : told.controllers.crashes)
+    for (const auto& crash : updates.controllers.crashes)
         requests.insert(crash.request);
     for (const auto& request : requests) {
         auto status = m_tracker.statusOf(request, now);
         // All crashes of the request, not just the new ones: gateways know only those that they observed themselves, and ignore duplicates.
         if (status >= Status::Watched)
-            m_tracker.describe(request, told.gateways, now);
+            m_tracker.describe(request, updates.gateways, now);
         if (status == Status::Refused)
-            told.refused.push_back(request);
+            updates.refused.push_back(request);
     }
-    told.gateways.served = told.controllers.served;
-    return told;
+    updates.gateways.served = updates.controllers.served;
+    return updates;
 }
 
 CrashReport CrashExchange::snapshotFor(Role role, Instant now) const
--- a/src/request/fleet/CrashTracker.cpp
+++ b/src/request/fleet/CrashTracker.cpp
@@ -60,17 +60,17 @@
 
 CrashReport CrashTracker::take(const CrashReport& report, Instant now)
 {
-    CrashReport news;
+    CrashReport added;
     for (const auto& crash : report.crashes) {
         auto at = now - crash.age;
         if (crash.age <= retentionPeriod + longestRefusal && add(crash.request, { crash.run(), at - crash.ranFor, at }))
-            news.crashes.push_back(crash);
+            added.crashes.push_back(crash);
     }
     for (const auto& served : report.served) {
         if (clear(served.request, now - served.age))
-            news.served.push_back(served);
+            added.served.push_back(served);
     }
-    return news;
+    return added;
 }
 
 void CrashTracker::dropRefuted(const ReplicaRegistry& registry, Instant now)
--- a/src/request/fleet/QuotaAggregator.cpp
+++ b/src/request/fleet/QuotaAggregator.cpp
@@ -44,8 +44,9 @@
 
 std::uint32_t QuotaAggregator::gatewayCount() const
 {
-    auto unlinked = std::count_if(m_lostGateways.begin(), m_lostGateways.end(), [](const auto& item) { return !item.second.isConnected; });
-    return static_cast<std::uint32_t>(m_gateways.size()) + static_cast<std::uint32_t>(unlinked);
+    auto unconnected
+        = std::count_if(m_lostGateways.begin(), m_lostGateways.end(), [](const auto& item) { return !item.second.isConnected; });
+    return static_cast<std::uint32_t>(m_gateways.size()) + static_cast<std::uint32_t>(unconnected);
 }
 
 GatewaysSeen QuotaAggregator::gatewaysSeen() const { return { gatewayCount(), static_cast<std::uint32_t>(m_lostGateways.size()) }; }
--- a/src/request/fleet/QuotaAggregator.h
+++ b/src/request/fleet/QuotaAggregator.h
@@ -58,8 +58,8 @@
         double total = 0;
         double totalAtSnapshot = 0;
         double limit = 0;
-        /// What all used a second at the last marks, and what was set aside for others; newest first. When a gateway is found to be lost,
-        /// those that are heard have gone on without it for a while.
+        /// The rate of all gateways and the reservations at the last snapshots, newest first. When a gateway is found to be lost, the
+        /// snapshot from the time of its last report is used, since the others have continued without it since then.
         struct Snapshot {
             double rate = 0;
             double reserved = 0;
--- a/src/request/fleet/ReplicaRegistry.cpp
+++ b/src/request/fleet/ReplicaRegistry.cpp
@@ -115,7 +115,7 @@
     }
 }
 
-RegistryHeartbeat ReplicaRegistry::heartbeat(HeartbeatScope names, Instant now) const
+RegistryHeartbeat ReplicaRegistry::heartbeat(HeartbeatScope scope, Instant now) const
 {
     RegistryHeartbeat heartbeat;
     heartbeat.digest = digest();
@@ -127,7 +127,7 @@
     heartbeat.earliest = first->second.announcement.start;
     for (const auto& [id, entry] : m_entries) {
         bool isRenewed = now - entry.lastHeardAt <= freshFor;
-        if (names == HeartbeatScope::Stale && isRenewed)
+        if (scope == HeartbeatScope::Stale && isRenewed)
             continue;
         heartbeat.ages[id] = now - entry.lastHeardAt;
         heartbeat.startedAfter.push_back(entry.announcement.start.value() - heartbeat.earliest.value());
