--- a/test/correctness/AccountTest.cpp
+++ b/test/correctness/AccountTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Client accounts at a gateway that calls upstreams itself: whose request it is, and who is let in.
+ * Client accounts at a gateway that calls upstreams directly: which account a request belongs to, and which requests are admitted.
  */
 #include "ForwardBench.h"
 #include "request/fleet/RequestFingerprint.h"
@@ -20,7 +20,7 @@
     return rule;
 }
 
-/// With two accounts, and a public route.
+/// A document with a public route, and with these accounts.
 RoutingDocument documentOf(std::uint64_t version, std::vector<AccountRule> accounts)
 {
     auto out = document(version);
@@ -38,7 +38,7 @@
         post(RegistryTold { PeerId(50), { {}, 1 } });
         replica("r1");
     }
-    RequestId askWith(const std::string& path, const std::string& key, RequestFingerprint fingerprint = {})
+    RequestId requestWithKey(const std::string& path, const std::string& key, RequestFingerprint fingerprint = {})
     {
         return ask(path, 600ms, fingerprint, key);
     }
@@ -46,13 +46,13 @@
 
 } // namespace
 
-TEST_CASE("a request runs for the account whose key its caller shows, and for nobody else")
+TEST_CASE("a request runs for the account whose key it carries, and is refused without a valid key")
 {
     Site site;
-    site.askWith("/once/x", "k2");
+    site.requestWithKey("/once/x", "k2");
     CHECK(site.only<Send>().account == "desk");
     for (const auto* key : { "k4", "k", "" }) {
-        site.askWith("/once/x", key);
+        site.requestWithKey("/once/x", key);
         CHECK(site.did<Send>().empty());
         CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
         CHECK(httpStatusOf(ResultCode::UnknownAccount) == 401);
@@ -60,18 +60,18 @@
     }
 }
 
-TEST_CASE("a public route needs no key, and an unknown one is no account")
+TEST_CASE("a public route needs no key, and an unknown key counts as no account")
 {
     Site site;
     for (const auto* key : { "", "k4" }) {
-        site.askWith("/open/x", key);
+        site.requestWithKey("/open/x", key);
         CHECK(site.only<Send>().account == "");
     }
-    site.askWith("/open/x", "k3");
+    site.requestWithKey("/open/x", "k3");
     CHECK(site.only<Send>().account == "gate");
 }
 
-TEST_CASE("a document without accounts asks for no key and tells replicas of none")
+TEST_CASE("a document without accounts requires no key, and no account is passed to replicas")
 {
     Bench bench;
     bench.serve().replica("r1");
@@ -79,7 +79,7 @@
     CHECK(!bench.only<Send>().account);
 }
 
-TEST_CASE("an empty list of accounts lets nobody in, and no list yet refuses nobody for good")
+TEST_CASE("an empty list of accounts admits nobody, and a list that has not arrived yet is a temporary error")
 {
     Bench bench;
     bench.replica("r1");
@@ -92,24 +92,24 @@
     CHECK(bench.only<Refuse>().error.code == ResultCode::UnknownAccount);
 }
 
-TEST_CASE("a gateway that hears no controller does not say of a key that nobody holds it")
+TEST_CASE("a gateway without contact to a controller does not reject an unknown key for good")
 {
     Site site;
     site.now += AccountQuotas::contactTimeout + 1ms;
-    site.askWith("/once/x", "k4");
+    site.requestWithKey("/once/x", "k4");
     CHECK(site.only<Refuse>().error.code == ResultCode::ConfigUnavailable);
     CHECK(site.only<Refuse>().error.retryAfter);
-    // One who shows none is refused whatever documents there may be.
-    site.askWith("/once/x", "");
+    // A caller without a key is refused by any document.
+    site.requestWithKey("/once/x", "");
     CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
-    // Those that are known are served on.
-    site.askWith("/once/x", "k1");
+    // Callers with a known key are still served.
+    site.requestWithKey("/once/x", "k1");
     CHECK(site.did<Send>().size() == 1);
 }
 
-TEST_CASE("a key that is taken away ends what waits for an engine, and not what runs")
+TEST_CASE("revoking a key ends requests that wait for an engine, and not requests that run")
 {
-    // Guards against a caller without an account that is served after its key was taken away.
+    // Guards against serving a caller after its key was revoked.
     Site site;
     site.replica("d1", UpstreamKind::Decode).replica("p1", UpstreamKind::Prefill);
     auto running = site.run(site.ask("/stream/x", 14s, {}, "k1"));
@@ -121,11 +121,11 @@
     site.streamHead(running);
     site.post(AnswerBody { running.id, running.attempt, "id: 1\ndata: x\n\n" });
     CHECK(site.did<StreamBytes>().size() == 1);
-    site.askWith("/once/x", "k1");
+    site.requestWithKey("/once/x", "k1");
     CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
 }
 
-TEST_CASE("an account's rank goes before its route's when requests wait for an engine")
+TEST_CASE("an account's rank overrides its route's when requests wait for an engine")
 {
     Site site;
     site.replica("d1", UpstreamKind::Decode).replica("p1", UpstreamKind::Prefill);
@@ -145,18 +145,18 @@
     CHECK((site.did<TakePlace>().front().id == urgent));
 }
 
-TEST_CASE("two keys of one account make one caller of a request that crashes replicas")
+TEST_CASE("a request that crashes replicas has the same fingerprint under all keys of an account")
 {
     Site site;
     RequestFingerprint print(7);
     auto crashOf = [&](const std::string& key) {
-        site.askWith("/once/x", key, print);
+        site.requestWithKey("/once/x", key, print);
         auto send = site.only<Send>();
         site.now += 50ms;
         site.post(CallFailed { send.id, send.attempt, true, "reset" });
-        auto told = site.did<TellCrashes>();
+        auto reports = site.did<TellCrashes>();
         site.wait(1s);
-        return told.empty() ? RequestFingerprint() : told.front().report.crashes.front().request;
+        return reports.empty() ? RequestFingerprint() : reports.front().report.crashes.front().request;
     };
     auto first = crashOf("k1");
     CHECK((first == fingerprintForAccount(print, "desk")));
@@ -169,7 +169,7 @@
 
 namespace {
 
-/// A site whose account may use 1,000 tokens a second and a burst of two large requests, and that hears a controller.
+/// A site in contact with a controller, with an account that may use 1,000 tokens a second and a burst of two large requests.
 struct LimitedSite : Bench {
     LimitedSite()
         : Bench({ "zone-1", 1, { 0.2, 60, 10s }, "gateway-1" })
@@ -178,10 +178,10 @@
         desk.quota = { QuotaRule::Unit::Tokens, 1000, 12'000, 200 };
         post(TakeDocument { documentOf(1, { desk, account("gate", { "k3" }) }), true });
         for (int i = 0; i < 15; ++i)
-            hear();
+            receiveTotals();
         replica("r1").replica("d1", UpstreamKind::Decode).replica("p1", UpstreamKind::Prefill);
     }
-    void hear()
+    void receiveTotals()
     {
         post(RegistryTold { controller, { {}, 1 } });
         wait(1s);
@@ -192,10 +192,10 @@
 
 } // namespace
 
-TEST_CASE("an account beyond its quota is refused before a replica is asked for anything, and told when to come back")
+TEST_CASE("an account beyond its quota is refused before any replica is called, and told when to retry")
 {
     LimitedSite site;
-    site.hear();
+    site.receiveTotals();
     for (int i = 0; i < 2; ++i) {
         site.ask("/stream/x", 14s, {}, "k1");
         CHECK(site.did<Refuse>().empty());
@@ -208,17 +208,17 @@
     CHECK(*error.retryAfter > 1s);
     CHECK(site.did<TakePlace>().empty());
     CHECK(site.did<Send>().empty());
-    // Another account is none the worse for it.
+    // Another account is not affected.
     site.ask("/once/x", 600ms, {}, "k3");
     CHECK(site.did<Send>().size() == 1);
 }
 
 namespace {
 
-/// Engines with room for half as many callers again as come on an ordinary day, and sixteen accounts with 1.8 times what they send.
-class Town : public Bench {
+/// Engines with a capacity of 1.5 times the normal load, and sixteen accounts with quotas of 1.8 times what they normally send.
+class LoadedSite : public Bench {
 public:
-    Town()
+    LoadedSite()
         : Bench({ "zone-1", 1, { 0.2, 60, 10s }, "gateway-1", { 8s, 0, 0 } })
     {
         std::vector<AccountRule> accounts;
@@ -227,51 +227,51 @@
             accounts.back().quota = { QuotaRule::Unit::Tokens, 1.8 * tokens, 2 * tokens, tokens };
         }
         post(TakeDocument { documentOf(1, accounts), true });
-        play(5s, {});
+        simulate(5s, {});
         served.assign(accountCount, 0);
     }
 
-    /// \param perSecond requests of the first account; each of the others sends one a second.
-    void play(Duration time, std::optional<int> perSecond)
+    /// \param perSecond requests per second of the first account; each of the others sends one. Without a value none sends any.
+    void simulate(Duration time, std::optional<int> perSecond)
     {
         for (auto end = now + time; now < end; ++m_step) {
             for (int i = 0; perSecond && i < accountCount; ++i) {
                 auto rate = i ? 1 : *perSecond;
                 if ((m_step + 6 * i) * rate % stepsPerSecond < rate)
-                    askFor(i);
+                    sendRequest(i);
             }
             if (m_step % stepsPerSecond == 0)
-                hear();
+                receiveTotals();
             wait(Duration(1s) / stepsPerSecond);
-            answer();
+            respond();
             while (!m_due.empty() && m_due.begin()->first <= now) {
                 auto event = m_due.extract(m_due.begin()).mapped();
                 post(event);
-                answer();
+                respond();
             }
         }
     }
     std::vector<int> served; ///< By account.
-    int refused = 0; ///< Of others than the first account.
+    int refused = 0; ///< Requests of other accounts than the first.
 
 private:
     static constexpr int accountCount = 16;
     static constexpr int stepsPerSecond = 100;
     static constexpr double tokens = 5800;
 
-    void askFor(int account)
+    void sendRequest(int account)
     {
         auto id = ask("/stream/x", 14s, {}, "key-" + std::to_string(account));
         m_askedBy[id] = account;
-        answer();
+        respond();
     }
 
-    void hear()
+    void receiveTotals()
     {
         post(RegistryTold { PeerId(50), { {}, 1 } });
-        answer();
+        respond();
         post(QuotaTold { PeerId(50), { {}, true } });
-        answer();
+        respond();
         announce("p1", UpstreamKind::Prefill);
         for (const auto* id : { "d1", "d2", "d3" })
             announce(id, UpstreamKind::Decode);
@@ -280,11 +280,11 @@
     void announce(const std::string& id, UpstreamKind kind)
     {
         replica(id, kind, ++m_announced);
-        answer();
+        respond();
     }
 
-    /// The engines' answers to what was done last: a prompt takes 20 ms, an answer a second.
-    void answer()
+    /// Simulates the engines' responses to the latest effects: a prefill takes 20 ms, a complete response one second.
+    void respond()
     {
         for (const auto& take : did<TakePlace>())
             m_due.emplace(now, PlaceTaken { take.id, take.attempt, "place-" + std::to_string(++m_places) });
@@ -314,26 +314,26 @@
 
 } // namespace
 
-TEST_CASE("an account that sends six times its usual is served its quota, and the others as on any day")
+TEST_CASE("an account that sends six times its normal load is served its quota, and the others as under normal load")
 {
-    Town usual;
-    usual.play(20s, 1);
-    Town hot;
-    hot.play(20s, 6);
-    CHECK(usual.refused == 0);
-    CHECK(hot.refused == 0);
-    for (std::size_t i = 1; i < hot.served.size(); ++i) {
-        CHECK(usual.served[i] >= 19);
-        CHECK(hot.served[i] >= usual.served[i]);
+    LoadedSite baseline;
+    baseline.simulate(20s, 1);
+    LoadedSite overloaded;
+    overloaded.simulate(20s, 6);
+    CHECK(baseline.refused == 0);
+    CHECK(overloaded.refused == 0);
+    for (std::size_t i = 1; i < overloaded.served.size(); ++i) {
+        CHECK(baseline.served[i] >= 19);
+        CHECK(overloaded.served[i] >= baseline.served[i]);
     }
-    CHECK(hot.served[0] >= 1.8 * 20 * 0.95);
-    CHECK(hot.served[0] <= 1.8 * 20 + 2 + 1);
+    CHECK(overloaded.served[0] >= 1.8 * 20 * 0.95);
+    CHECK(overloaded.served[0] <= 1.8 * 20 + 2 + 1);
 }
 
-TEST_CASE("a request that is refused for want of room costs its account nothing, and one that may have run does")
+TEST_CASE("a request that is refused for lack of capacity is not charged to its account, and one that may have run is")
 {
     LimitedSite site;
-    site.hear();
+    site.receiveTotals();
     auto remaining = [&site] { return site.logic().quotas().accounts().at("desk").remaining(site.now); };
     auto before = remaining();
     auto take = (site.ask("/stream/x", 14s, {}, "k1"), site.only<TakePlace>());
@@ -348,10 +348,10 @@
     CHECK(remaining() == doctest::Approx(before - 200));
 }
 
-TEST_CASE("what is used is reported to all controllers, under the account's hash and with its limit")
+TEST_CASE("usage is reported to all controllers, with the account's hash and limit")
 {
     LimitedSite site;
-    site.hear();
+    site.receiveTotals();
     site.ask("/stream/x", 14s, {}, "k1");
     site.wait(AccountQuotas::promptReportDelay);
     auto report = site.only<ReportUse>().report;
--- a/test/correctness/CrashTest.cpp
+++ b/test/correctness/CrashTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Which requests are taken to crash the replicas that run them, and which are not.
+ * Which requests are considered to crash the replicas that run them, and which are not.
  */
 #include "request/fleet/CrashExchange.h"
 #include "request/fleet/RequestFingerprint.h"
@@ -33,48 +33,49 @@
     return a;
 }
 
-/// Ends of different replicas a second apart, each 0.1 s after the request was sent there.
-void crashAfterEach(CrashTracker& tracker, int n, Instant from = start)
+/// Records crashes of different replicas, one second apart, each 0.1 s after the request was sent there.
+void addCrashes(CrashTracker& tracker, int n, Instant from = start)
 {
     for (int i = 0; i < n; ++i)
         tracker.noteCrash(request, run(i), 100ms, from + i * 1s);
 }
 
-constexpr Instant afterThree = start + 2s;
+constexpr Instant atThirdCrash = start + 2s;
 
 } // namespace
 
-TEST_CASE("a request is the same under any id, and another one for any other account, path or body")
+TEST_CASE("a fingerprint does not depend on the request's id, and differs by account, method, path and body")
 {
-    auto print = [](const RequestParts& parts, std::string_view account) { return fingerprintForAccount(fingerprintOf(parts), account); };
-    auto fingerprint = print({ "POST", "desk.example", "/a/x", "body" }, "desk-1");
-    CHECK((fingerprint == print({ "POST", "desk.example", "/a/x", "body" }, "desk-1")));
-    CHECK((fingerprint != print({ "PUT", "desk.example", "/a/x", "body" }, "desk-1")));
-    CHECK((fingerprint != print({ "POST", "desk.example", "/a/x?y=1", "body" }, "desk-1")));
-    CHECK((fingerprint != print({ "POST", "desk.example", "/a/x", "body" }, "desk-2")));
-    CHECK((fingerprint != print({ "POST", "desk.example", "/a/x", "other" }, "desk-1")));
-    // What one part loses another one may not gain.
-    CHECK((fingerprint != print({ "POST", "desk.example", "/a/xb", "ody" }, "desk-1")));
-    CHECK((fingerprint != print({ "POST", "desk.example", "/a/x", "bodydesk" }, "-1")));
-    CHECK((fingerprint != print({ "POST", "desk.example", "/a/x", "bodydesk-1" }, "")));
+    auto fingerprintFor
+        = [](const RequestParts& parts, std::string_view account) { return fingerprintForAccount(fingerprintOf(parts), account); };
+    auto fingerprint = fingerprintFor({ "POST", "desk.example", "/a/x", "body" }, "desk-1");
+    CHECK((fingerprint == fingerprintFor({ "POST", "desk.example", "/a/x", "body" }, "desk-1")));
+    CHECK((fingerprint != fingerprintFor({ "PUT", "desk.example", "/a/x", "body" }, "desk-1")));
+    CHECK((fingerprint != fingerprintFor({ "POST", "desk.example", "/a/x?y=1", "body" }, "desk-1")));
+    CHECK((fingerprint != fingerprintFor({ "POST", "desk.example", "/a/x", "body" }, "desk-2")));
+    CHECK((fingerprint != fingerprintFor({ "POST", "desk.example", "/a/x", "other" }, "desk-1")));
+    // Moving bytes from one part to the next changes the fingerprint.
+    CHECK((fingerprint != fingerprintFor({ "POST", "desk.example", "/a/xb", "ody" }, "desk-1")));
+    CHECK((fingerprint != fingerprintFor({ "POST", "desk.example", "/a/x", "bodydesk" }, "-1")));
+    CHECK((fingerprint != fingerprintFor({ "POST", "desk.example", "/a/x", "bodydesk-1" }, "")));
 }
 
-TEST_CASE("a request under which three replicas have ended, one after the other, is refused")
+TEST_CASE("a request is refused after three replicas have crashed while running it, one after the other")
 {
-    // Symptom: one request ends replica after replica. Sequence: its caller sends it again after each end. Cause: each run was a new
-    // request to whoever took it, and nobody counted the crashes.
+    // Guards against a request that crashes replica after replica since its caller retries after each crash. Each run looked like a new
+    // request, and the crashes were not counted.
     CrashTracker tracker;
-    crashAfterEach(tracker, 1);
+    addCrashes(tracker, 1);
     CHECK(tracker.statusOf(request, start) == Status::Unknown);
-    crashAfterEach(tracker, 2);
+    addCrashes(tracker, 2);
     CHECK(tracker.statusOf(request, start + 1s) == Status::Watched);
-    crashAfterEach(tracker, 3);
-    CHECK(tracker.statusOf(request, afterThree) == Status::Refused);
-    CHECK(tracker.statusOf(RequestFingerprint(8), afterThree) == Status::Unknown);
+    addCrashes(tracker, 3);
+    CHECK(tracker.statusOf(request, atThirdCrash) == Status::Refused);
+    CHECK(tracker.statusOf(RequestFingerprint(8), atThirdCrash) == Status::Unknown);
     CHECK(tracker.text(request) == "fingerprint 0000000000000007 has crashed i-0 i-1 i-2");
 }
 
-TEST_CASE("a replica crashes once, however many say so")
+TEST_CASE("a replica's crash is counted once, however often it is reported")
 {
     CrashTracker tracker;
     for (int i = 0; i < 9; ++i)
@@ -82,62 +83,61 @@
     CHECK(tracker.statusOf(request, start + 9s) == Status::Unknown);
 }
 
-TEST_CASE("a caller whose requests ran at a whole rack that lost its power is served")
+TEST_CASE("a caller whose requests ran in a rack that lost power is served")
 {
-    // Symptom: after an outage a caller's lookup is refused everywhere for minutes though it harms nobody. Sequence: a caller looks the
-    // same thing up four times at once, and the four replicas end at the same time. Cause: crashes are counted as if each had followed
-    // another.
+    // Guards against refusing a harmless request everywhere for minutes after an outage. A caller sends the same request four times at
+    // once, and all four replicas end at the same time; these crashes must not count as if one had followed another.
     CrashTracker tracker;
     for (int i = 0; i < 4; ++i)
         tracker.noteCrash(request, run(i), 300ms, start + i * 40ms);
     CHECK(tracker.statusOf(request, start + 1s) == Status::Unknown);
-    // It comes again, and the replica that it comes to ends too: that may be the request's doing.
+    // A retry whose replica crashes too does count, since the request may be the cause.
     tracker.noteCrash(request, run(9), 100ms, start + 2s);
     CHECK(tracker.statusOf(request, start + 2s) == Status::Watched);
 }
 
-TEST_CASE("a replica that is heard of again has not ended")
+TEST_CASE("a replica that announces itself again has not crashed")
 {
-    // Symptom: a request whose connections are reset is refused though no replica has ended. Sequence: the connections of a gateway's
-    // machine are reset three times, while the replicas go on. Cause: the end of a connection is taken for the end of its replica.
+    // Guards against refusing a request whose connections were reset though no replica has crashed: the connections of a gateway's machine
+    // are reset three times while the replicas continue, and the end of a connection is taken for a crash.
     CrashTracker tracker;
     ReplicaRegistry registry;
     for (int i = 0; i < 3; ++i)
         registry.announce(announcement(i, 1), 0s, start - 1s);
-    crashAfterEach(tracker, 3);
-    tracker.dropRefuted(registry, afterThree);
-    CHECK(tracker.statusOf(request, afterThree) == Status::Refused);
-    // Heard of just after its end: it may have been said before.
-    registry.announce(announcement(2, 2), 0s, afterThree + 500ms);
-    tracker.dropRefuted(registry, afterThree + 500ms);
-    CHECK(tracker.statusOf(request, afterThree + 500ms) == Status::Refused);
-    registry.announce(announcement(2, 3), 0s, afterThree + 1700ms);
-    tracker.dropRefuted(registry, afterThree + 1700ms);
-    CHECK(tracker.statusOf(request, afterThree + 1700ms) == Status::Watched);
+    addCrashes(tracker, 3);
+    tracker.dropRefuted(registry, atThirdCrash);
+    CHECK(tracker.statusOf(request, atThirdCrash) == Status::Refused);
+    // An announcement that arrives just after the crash may have been sent before.
+    registry.announce(announcement(2, 2), 0s, atThirdCrash + 500ms);
+    tracker.dropRefuted(registry, atThirdCrash + 500ms);
+    CHECK(tracker.statusOf(request, atThirdCrash + 500ms) == Status::Refused);
+    registry.announce(announcement(2, 3), 0s, atThirdCrash + 1700ms);
+    tracker.dropRefuted(registry, atThirdCrash + 1700ms);
+    CHECK(tracker.statusOf(request, atThirdCrash + 1700ms) == Status::Watched);
 }
 
-TEST_CASE("a replica that starts again under its id is another run, and does not clear what ended its former one")
+TEST_CASE("a replica that restarts under its id is another run, and does not clear the crash of its former run")
 {
     CrashTracker tracker;
     ReplicaRegistry registry;
-    crashAfterEach(tracker, 3);
+    addCrashes(tracker, 3);
     for (int i = 0; i < 3; ++i) {
         auto again = announcement(i, 1);
         again.start = ReplicaStart(1'764'700'000'000);
-        registry.announce(again, 0s, afterThree + 5s);
+        registry.announce(again, 0s, atThirdCrash + 5s);
     }
-    tracker.dropRefuted(registry, afterThree + 5s);
-    CHECK(tracker.statusOf(request, afterThree + 5s) == Status::Refused);
+    tracker.dropRefuted(registry, atThirdCrash + 5s);
+    CHECK(tracker.statusOf(request, atThirdCrash + 5s) == Status::Refused);
 }
 
-TEST_CASE("a whole answer clears what ended before it, at every process")
+TEST_CASE("a complete response clears the crashes before it, at every process")
 {
     CrashTracker tracker;
-    crashAfterEach(tracker, 2);
+    addCrashes(tracker, 2);
     auto before = tracker.describeAll(Status::Unknown, start + 1s);
     CHECK(tracker.noteServed(request, start + 1500ms).served.size() == 1);
     CHECK(tracker.noteServed(request, start + 1600ms).isEmpty());
-    // Others that have not heard of the answer tell the crashes again.
+    // Processes that have not received the response report the crashes again.
     CHECK(tracker.take(before, start + 1s).isEmpty());
     tracker.noteCrash(request, run(5), 100ms, start + 3s);
     CHECK(tracker.statusOf(request, start + 3s) == Status::Unknown);
@@ -145,13 +145,13 @@
     CHECK(tracker.size() == 1);
 }
 
-TEST_CASE("a refused request is let through after a while, and refused for twice as long by one more end")
+TEST_CASE("a refused request is admitted after a while, and one more crash refuses it for twice as long")
 {
     CrashTracker tracker;
-    crashAfterEach(tracker, 3);
-    // In progress when it was refused.
-    tracker.noteCrash(request, run(10), 100ms, afterThree + 1s);
-    auto again = afterThree + CrashTracker::firstRefusal;
+    addCrashes(tracker, 3);
+    // This run was in progress when the request was refused, so it does not count.
+    tracker.noteCrash(request, run(10), 100ms, atThirdCrash + 1s);
+    auto again = atThirdCrash + CrashTracker::firstRefusal;
     CHECK(tracker.statusOf(request, again - 1us) == Status::Refused);
     CHECK(tracker.statusOf(request, again) == Status::Watched);
     tracker.noteCrash(request, run(11), 100ms, again + 1s);
@@ -159,10 +159,10 @@
     CHECK(tracker.statusOf(request, again + 1s + 2 * CrashTracker::firstRefusal) == Status::Watched);
 }
 
-TEST_CASE("what is known of a request is forgotten in time, and bounded in number")
+TEST_CASE("entries of requests expire, and their number is bounded")
 {
     CrashTracker tracker;
-    crashAfterEach(tracker, 1);
+    addCrashes(tracker, 1);
     tracker.removeExpired(start + CrashTracker::retentionPeriod);
     CHECK(tracker.size() == 1);
     tracker.removeExpired(start + CrashTracker::retentionPeriod + 1us);
@@ -175,16 +175,16 @@
     CHECK(tracker.noteCrash(RequestFingerprint(2 * CrashTracker::maxRequests + 99), run(1), 100ms, start + 1s).isEmpty());
 }
 
-TEST_CASE("a refused request stays known while those that end by chance come and go")
+TEST_CASE("a refused request is not evicted by many requests with one crash each")
 {
     CrashTracker tracker;
-    crashAfterEach(tracker, 3);
+    addCrashes(tracker, 3);
     for (std::uint64_t i = 0; i < 2 * CrashTracker::maxRequests; ++i)
-        tracker.noteCrash(RequestFingerprint(i + 100), run(1), 100ms, afterThree + 1s + i * 1us);
-    CHECK(tracker.statusOf(request, afterThree + 2s) == Status::Refused);
+        tracker.noteCrash(RequestFingerprint(i + 100), run(1), 100ms, atThirdCrash + 1s + i * 1us);
+    CHECK(tracker.statusOf(request, atThirdCrash + 2s) == Status::Refused);
 }
 
-TEST_CASE("processes that were told the same crashes, in any order and more than once, judge alike")
+TEST_CASE("processes that received the same crashes, in any order and more than once, compute the same status")
 {
     CHECK(rc::check("any order of reports", [] {
         auto gaps = *rc::gen::container<std::vector<int>>(8, rc::gen::inRange(0, 3000));
@@ -206,7 +206,7 @@
         for (const auto& report : reports)
             other.take(report, start + 30s);
         RC_ASSERT(one.statusOf(request, start + 30s) == other.statusOf(request, start + 30s));
-        // Passed on to a third, it says the same, and is no news to who knows it.
+        // A third process that merges the snapshot agrees, and for a process that knows the crashes nothing in it is new.
         CrashTracker third;
         third.take(one.describeAll(Status::Unknown, start + 30s), start + 30s);
         RC_ASSERT(third.statusOf(request, start + 30s) == one.statusOf(request, start + 30s));
@@ -214,81 +214,82 @@
     }));
 }
 
-TEST_CASE("gateways on either side of a cut hear of a request, over the controllers that each of them reaches")
+TEST_CASE("gateways on both sides of a partition receive the crashes of a request through the controllers that they reach")
 {
-    // Symptom: a request goes on ending replicas at gateways that reach other controllers than those which saw it end some.
+    // Guards against a request that continues to crash replicas at gateways that reach other controllers than the gateways that saw it.
     CrashExchange one;
     CrashExchange other;
-    auto pass = [&](CrashExchange& exchange, int n) {
+    auto addCrash = [&](CrashExchange& exchange, int n) {
         CrashReport report;
         report.crashes.push_back({ request, run(n).id, {}, 0s, 100ms });
         return exchange.take(report, start + n * 1s);
     };
-    auto first = pass(one, 0);
+    auto first = addCrash(one, 0);
     CHECK(first.controllers.crashes.size() == 1);
     CHECK(first.gateways.isEmpty());
     CHECK(other.take(first.controllers, start).gateways.isEmpty());
-    auto second = pass(other, 1);
+    auto second = addCrash(other, 1);
     CHECK(second.gateways.crashes.size() == 2);
     one.take(second.controllers, start + 1s);
-    auto third = pass(one, 2);
+    auto third = addCrash(one, 2);
     REQUIRE(third.refused.size() == 1);
     CHECK((third.refused[0] == request));
-    auto told = other.take(third.controllers, start + 2s).gateways;
+    auto updates = other.take(third.controllers, start + 2s).gateways;
     CrashTracker gateway;
-    gateway.take(told, start + 2s);
+    gateway.take(updates, start + 2s);
     CHECK(gateway.statusOf(request, start + 2s) == Status::Refused);
-    // Told again, it is no news to anyone.
+    // Nothing in a repeated report is new.
     CHECK(one.take(third.controllers, start + 2s).controllers.isEmpty());
 }
 
-TEST_CASE("gateways are not told of requests that one replica has ended under, unless they are known for more")
+TEST_CASE("requests with one crash are sent to controllers and not to gateways")
 {
-    // Symptom: links carry thousands of messages for each engine that crashes. Cause: all that ran there is told to all gateways.
+    // Guards against thousands of messages for each engine that crashes, caused by sending every request that ran there to all gateways.
     CrashExchange exchange;
     CrashReport report;
     for (std::uint64_t i = 0; i < 60; ++i)
         report.crashes.push_back({ RequestFingerprint(100 + i), "i-1", {}, 0s, 1s });
-    auto told = exchange.take(report, start);
-    CHECK(told.controllers.crashes.size() == 60);
-    CHECK(told.gateways.isEmpty());
+    auto updates = exchange.take(report, start);
+    CHECK(updates.controllers.crashes.size() == 60);
+    CHECK(updates.gateways.isEmpty());
     CHECK(exchange.snapshotFor(Role::Controller, start).crashes.size() == 60);
     CHECK(exchange.snapshotFor(Role::Gateway, start).isEmpty());
 }
 
-TEST_CASE("what controllers tell each other of a request comes to an end")
+TEST_CASE("the exchange of reports between controllers terminates")
 {
-    // Symptom: all controllers take their whole processor time, fill their links, and read no configuration back. Sequence: a replica ends
-    // under a request, the request is answered whole at another gateway; both go from controller to controller, and each message makes its
-    // time a little later. Cause: an end that had been cleared was taken for a new one when it came again by another way, and then
-    // cleared again, for ever.
-    CHECK(rc::check("crashes and answers in any order, over ways of any length", [] {
+    // Guards against controllers that use all their processor time, fill their links and fail to read back the configuration. A replica
+    // crashes while running a request that then gets a complete response at another gateway. Both reports go from controller to controller,
+    // and each hop makes their times a little later. A cleared crash that arrived again by another path was taken for a new one and cleared
+    // again, forever.
+    CHECK(rc::check("crashes and responses in any order, over paths of any latency", [] {
         constexpr std::size_t controllers = 4;
-        constexpr std::size_t mostMessages = 5000;
+        constexpr std::size_t maxMessages = 5000;
         std::array<CrashExchange, controllers> exchanges;
-        struct Letter {
+        struct Envelope {
             std::size_t from;
             std::size_t to;
             CrashReport report;
         };
-        std::multimap<Instant, Letter> network;
+        std::multimap<Instant, Envelope> network;
         for (auto i : *rc::gen::container<std::vector<int>>(12, rc::gen::inRange(0, 1000))) {
             CrashReport report;
             if (i % 3 == 0)
                 report.served.push_back({ request, 0s });
             else
                 report.crashes.push_back({ request, run(i % 7).id, {}, 0s, 10ms });
-            network.emplace(start + i * 1ms, Letter { controllers, static_cast<std::size_t>(i) % controllers, report });
+            network.emplace(start + i * 1ms, Envelope { controllers, static_cast<std::size_t>(i) % controllers, report });
         }
-        auto ways = *rc::gen::container<std::vector<int>>(64, rc::gen::inRange(1, 300));
+        auto latencies = *rc::gen::container<std::vector<int>>(64, rc::gen::inRange(1, 300));
         std::size_t messages = 0;
-        while (!network.empty() && messages < mostMessages) {
-            auto [now, letter] = *network.begin();
+        while (!network.empty() && messages < maxMessages) {
+            auto [now, envelope] = *network.begin();
             network.erase(network.begin());
-            auto told = exchanges[letter.to].take(letter.report, now);
+            auto updates = exchanges[envelope.to].take(envelope.report, now);
             for (std::size_t to = 0; to < controllers; ++to) {
-                if (to != letter.to && to != letter.from && !told.controllers.isEmpty())
-                    network.emplace(now + ways[messages++ % ways.size()] * 1ms, Letter { letter.to, to, told.controllers });
+                if (to != envelope.to && to != envelope.from && !updates.controllers.isEmpty())
+                    network.emplace(
+                        now + latencies[messages++ % latencies.size()] * 1ms, Envelope { envelope.to, to, updates.controllers });
             }
         }
         RC_ASSERT(network.empty());
--- a/test/correctness/QuotaTest.cpp
+++ b/test/correctness/QuotaTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * One limit that all gateways keep together: what is admitted in any window, and who is refused.
+ * A limit that all gateways enforce together: how much is admitted in any window, and which requests are refused.
  */
 #include "QuotaFleet.h"
 #include "message/Codec.h"
@@ -10,84 +10,84 @@
 using namespace wrenhinge;
 using namespace wrenhinge::quotas;
 
-TEST_CASE("below its limit an account is refused nowhere, through however few gateways its callers come")
+TEST_CASE("no gateway refuses an account that is below its limit, however few gateways its callers use")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
-    SUBCASE("through one")
+    fleet.advance(3s);
+    SUBCASE("one gateway")
     {
         fleet.load(rule.perSecond * 0.9, 20s, [](std::mt19937&) { return 5; });
     }
-    SUBCASE("through two, in bursts")
+    SUBCASE("two gateways, in bursts")
     {
         for (int i = 0; i < 10; ++i) {
             fleet.load(rule.perSecond * 1.4, 1s, [](std::mt19937& random) { return random() % 2; });
             fleet.load(rule.perSecond * 0.2, 1s, [](std::mt19937& random) { return random() % 2; });
         }
     }
-    SUBCASE("through all") { fleet.load(rule.perSecond * 0.95, 20s); }
+    SUBCASE("all gateways") { fleet.load(rule.perSecond * 0.95, 20s); }
     CHECK(fleet.refused == 0);
 }
 
-TEST_CASE("an account that sends many times its limit has the limit run, in every window, over all gateways")
+TEST_CASE("an account that sends many times its limit is admitted up to the limit, in every window, over all gateways")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 0.55, 5s);
     auto from = fleet.now;
     fleet.load(rule.perSecond * 6, 20s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
-    // What it is allowed it gets all the same.
+    CHECK(fleet.maxInWindow() <= fleet.bound());
+    // The account still receives what the limit allows.
     CHECK(fleet.admittedSince(from) >= rule.perSecond * 20 * 0.95);
 }
 
-TEST_CASE("an account far below its limit costs little of what a gateway may spend on control")
+TEST_CASE("an account far below its limit uses little of a gateway's bandwidth for control messages")
 {
     constexpr double bytesPerSecond = 3000;
     Fleet fleet(33, 6);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.messages = 0;
     fleet.load(rule.perSecond * 0.3, 10s);
     auto bytes = encode(QuotaReport { { { accountId("desk"), 3300.5, rule.perSecond, true } }, true, false }).size();
     CHECK(static_cast<double>(fleet.messages * bytes) / 33 / 10 <= bytesPerSecond / 2);
 }
 
-TEST_CASE("both sides of a cut go on, and together keep to the limit")
+TEST_CASE("both sides of a network partition continue, and together stay within the limit")
 {
     Fleet fleet(33, 5);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 0.55, 6s);
-    fleet.cut(12, 2);
-    SUBCASE("below the limit nobody is refused")
+    fleet.partition(12, 2);
+    SUBCASE("below the limit nothing is refused")
     {
         fleet.load(rule.perSecond * 0.55, 10s);
         CHECK(fleet.refused == 0);
     }
-    SUBCASE("above it both sides together have the limit run")
+    SUBCASE("above it both sides together admit no more than the limit")
     {
         fleet.load(rule.perSecond * 6, 12s);
-        CHECK(fleet.mostInWindow() <= fleet.bound());
+        CHECK(fleet.maxInWindow() <= fleet.bound());
     }
     fleet.heal();
     fleet.load(rule.perSecond * 6, 10s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("gateways that hear no controller keep to the limit together")
+TEST_CASE("gateways without contact to any controller together stay within the limit")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 3, 8s);
     for (std::size_t c = 0; c < 3; ++c)
-        fleet.cut(0, 3);
+        fleet.partition(0, 3);
     fleet.load(rule.perSecond * 6, 16s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("what gateways and controllers forget by a restart is not admitted again")
+TEST_CASE("usage that gateways and controllers lose by a restart is not admitted again")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 6, 8s);
     SUBCASE("one controller after the other")
     {
@@ -114,62 +114,62 @@
             fleet.restartController(c);
         for (std::size_t g = 0; g < 33; ++g)
             fleet.restartGateway(g);
-        fleet.pass(1s);
+        fleet.advance(1s);
     }
     fleet.load(rule.perSecond * 6, 10s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("an account that nobody uses is shared between the sides of a cut, and each sets aside the other's part")
+TEST_CASE("the limit of an idle account is divided between the sides of a partition, and each reserves the other's share")
 {
     Fleet fleet(11, 3);
-    fleet.pass(3s);
-    fleet.cut(5, 1);
+    fleet.advance(3s);
+    fleet.partition(5, 1);
     fleet.load(rule.perSecond, 2s);
     fleet.load(rule.perSecond * 4, 12s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("gateways that are cut off one after the other share what those before them left")
+TEST_CASE("gateways that are isolated one after the other divide what is not reserved for those before them")
 {
     Fleet fleet(10, 1);
-    fleet.pass(3s);
+    fleet.advance(3s);
     for (std::size_t reachable = 10; reachable > 0; --reachable) {
         fleet.load(rule.perSecond * 2, 6s);
-        fleet.cut(reachable - 1, 1);
+        fleet.partition(reachable - 1, 1);
     }
     fleet.load(rule.perSecond * 6, 12s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("a controller that starts during a cut sets aside what its former run did")
+TEST_CASE("a controller that starts during a partition reserves what its former run reserved")
 {
     Fleet fleet(14, 2);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 3, 6s);
-    fleet.cut(7, 1);
-    SUBCASE("the cut was seen before")
+    fleet.partition(7, 1);
+    SUBCASE("the former run had detected the partition")
     {
         fleet.load(rule.perSecond * 6, 3s);
         fleet.restartController(0);
         fleet.restartController(1);
     }
-    SUBCASE("it was not")
+    SUBCASE("the former run had not detected it")
     {
         fleet.load(rule.perSecond * 6, 300ms);
         fleet.restartController(0);
         fleet.restartController(1);
     }
     fleet.load(rule.perSecond * 6, 12s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("a gateway that comes back has its part no longer set aside by a controller that started meanwhile")
+TEST_CASE("a controller that started meanwhile releases the reservation of a gateway that reconnects")
 {
     Fleet fleet(14, 2);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 3, 6s);
-    fleet.cut(7, 1);
+    fleet.partition(7, 1);
     fleet.load(rule.perSecond * 3, 3s);
     fleet.restartController(0);
     fleet.restartController(1);
@@ -181,23 +181,23 @@
     CHECK(fleet.refused == 0);
 }
 
-TEST_CASE("gateways that are cut off soon after a controller's start take no larger parts than before")
+TEST_CASE("gateways that are isolated soon after a controller's start take no larger shares than before")
 {
     Fleet fleet(19, 1);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 0.95, 5s);
     fleet.restartController(0);
-    SUBCASE("two seconds after") { fleet.load(rule.perSecond * 0.95, 2s); }
-    SUBCASE("at once") { fleet.load(rule.perSecond * 0.95, 300ms); }
-    fleet.cut(0, 1);
+    SUBCASE("two seconds after the start") { fleet.load(rule.perSecond * 0.95, 2s); }
+    SUBCASE("immediately after the start") { fleet.load(rule.perSecond * 0.95, 300ms); }
+    fleet.partition(0, 1);
     fleet.load(rule.perSecond * 6, 12s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("gateways that wake from a freeze go by nothing that they knew before")
+TEST_CASE("gateways that resume after a freeze discard what they knew before")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 6, 8s);
     for (std::size_t g = 0; g < 16; ++g)
         fleet.freeze(g, true);
@@ -205,13 +205,13 @@
     for (std::size_t g = 0; g < 16; ++g)
         fleet.freeze(g, false);
     fleet.load(rule.perSecond * 6, 8s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("a lower limit holds a window after it came, and a higher one lets more through at once")
+TEST_CASE("a lower limit is enforced one window after it is set, and a higher one admits more immediately")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 0.55, 5s);
     SUBCASE("lower")
     {
@@ -219,7 +219,7 @@
         fleet.load(rule.perSecond * 0.55, 8s);
         fleet.forgetRuns();
         fleet.load(rule.perSecond * 0.55, 20s);
-        CHECK(fleet.mostInWindow() <= fleet.bound());
+        CHECK(fleet.maxInWindow() <= fleet.bound());
         CHECK(fleet.refused);
     }
     SUBCASE("higher")
@@ -236,17 +236,17 @@
 
 constexpr Instant later = start + 3s;
 
-/// One gateway that hears a controller, and no others.
-struct Single {
-    explicit Single(const QuotaSettings& settings = tolerance, const QuotaRule& limit = rule)
+/// One gateway, in contact with one controller, and with no other gateways.
+struct SingleGateway {
+    explicit SingleGateway(const QuotaSettings& settings = tolerance, const QuotaRule& limit = rule)
         : quotas(settings, "gateway-1")
     {
         quotas.setGateways(33);
         quotas.setRules({ { "desk", limit } }, start);
         for (auto at = start; at <= later; at += 1s)
-            hear(at);
+            receiveTotals(at);
     }
-    void hear(Instant now)
+    void receiveTotals(Instant now)
     {
         quotas.noteContact(PeerId(500), now);
         quotas.report(now);
@@ -258,86 +258,86 @@
 
 } // namespace
 
-TEST_CASE("who is refused is told when the account may ask again, later the more are told so")
+TEST_CASE("a refused request is told when to retry, and each further one is told a later time")
 {
-    Single one;
-    auto verdict = one.quotas.admit("desk", 3300, later);
+    SingleGateway gateway;
+    auto verdict = gateway.quotas.admit("desk", 3300, later);
     while (verdict.isAdmitted)
-        verdict = one.quotas.admit("desk", 3300, later);
+        verdict = gateway.quotas.admit("desk", 3300, later);
     auto first = verdict.retryAfter;
-    auto second = one.quotas.admit("desk", 3300, later).retryAfter;
+    auto second = gateway.quotas.admit("desk", 3300, later).retryAfter;
     CHECK(first > Duration::zero());
     CHECK(toSeconds(second - first) == doctest::Approx(3300 / rule.perSecond).epsilon(0.1));
-    CHECK(!one.admit(3300, later + first / 2));
-    one.hear(later + second);
-    CHECK(one.admit(3300, later + second));
+    CHECK(!gateway.admit(3300, later + first / 2));
+    gateway.receiveTotals(later + second);
+    CHECK(gateway.admit(3300, later + second));
 }
 
-TEST_CASE("what has not run is given back once, to all")
+TEST_CASE("an admitted amount that has not run is refunded once, and is not reported to the others")
 {
-    Single one;
-    auto& quota = one.quotas.accounts().at("desk");
+    SingleGateway gateway;
+    auto& quota = gateway.quotas.accounts().at("desk");
     auto before = quota.remaining(later);
-    one.admit(3300, later);
+    gateway.admit(3300, later);
     CHECK(quota.remaining(later) == doctest::Approx(before - 3300));
-    one.quotas.refund("desk", 3300, later);
+    gateway.quotas.refund("desk", 3300, later);
     CHECK(quota.remaining(later) == doctest::Approx(before));
     CHECK(quota.unreported() == 0);
 }
 
-TEST_CASE("a request larger than the bucket is admitted when that is full, and paid for afterwards")
+TEST_CASE("a request larger than the bucket is admitted when the bucket is full, and later requests wait for the debt")
 {
-    Single one({ 8s, 0, 0 }, { QuotaRule::Unit::Tokens, 1000, 500, 200 });
-    one.hear(later + 1s);
-    CHECK(one.admit(4000, later + 1s));
-    one.hear(later + 2s);
-    CHECK(!one.admit(10, later + 2s));
+    SingleGateway gateway({ 8s, 0, 0 }, { QuotaRule::Unit::Tokens, 1000, 500, 200 });
+    gateway.receiveTotals(later + 1s);
+    CHECK(gateway.admit(4000, later + 1s));
+    gateway.receiveTotals(later + 2s);
+    CHECK(!gateway.admit(10, later + 2s));
     for (int i = 3; i <= 6; ++i)
-        one.hear(later + i * 1s);
-    CHECK(one.admit(100, later + 6s));
+        gateway.receiveTotals(later + i * 1s);
+    CHECK(gateway.admit(100, later + 6s));
 }
 
-TEST_CASE("another controller's totals hold the same use once more, and are passed over")
+TEST_CASE("totals of another controller contain the same usage again, and are ignored")
 {
-    Single one;
-    one.quotas.noteContact(PeerId(501), later);
-    auto& quota = one.quotas.accounts().at("desk");
+    SingleGateway gateway;
+    gateway.quotas.noteContact(PeerId(501), later);
+    auto& quota = gateway.quotas.accounts().at("desk");
     auto before = quota.remaining(later);
     QuotaTotals totals { { { accountId("desk"), 1000, 5000, 0, true } } };
-    one.quotas.take(PeerId(501), totals, later);
+    gateway.quotas.take(PeerId(501), totals, later);
     CHECK(quota.remaining(later) == doctest::Approx(before));
-    one.quotas.take(PeerId(500), totals, later);
+    gateway.quotas.take(PeerId(500), totals, later);
     CHECK(quota.remaining(later) == doctest::Approx(before - 1000));
 }
 
-TEST_CASE("an account that is no longer busy when a gateway changes its controller is not waited for")
+TEST_CASE("a gateway that changes its controller does not wait for totals of an account that is no longer busy")
 {
-    Single one;
+    SingleGateway gateway;
     QuotaTotals busy { { { accountId("desk"), 1000, 5000, 0, true } } };
-    one.quotas.take(PeerId(500), busy, later);
-    one.quotas.disconnected(PeerId(500));
-    one.quotas.noteContact(PeerId(501), later + 1s);
-    auto report = one.quotas.report(later + 1s);
+    gateway.quotas.take(PeerId(500), busy, later);
+    gateway.quotas.disconnected(PeerId(500));
+    gateway.quotas.noteContact(PeerId(501), later + 1s);
+    auto report = gateway.quotas.report(later + 1s);
     REQUIRE(report);
     REQUIRE((report->totalsSource == PeerId(501)));
     if (report->asksForAll)
-        one.quotas.take(PeerId(501), { {}, true }, later + 1s);
-    CHECK(!one.quotas.accounts().at("desk").usage(later + 1s).isIsolated);
+        gateway.quotas.take(PeerId(501), { {}, true }, later + 1s);
+    CHECK(!gateway.quotas.accounts().at("desk").usage(later + 1s).isIsolated);
 }
 
-TEST_CASE("whatever fails, no window holds more than is allowed")
+TEST_CASE("under any failures, no window admits more than is allowed")
 {
-    CHECK(rc::check("one failure after the other, under any load", [] {
+    CHECK(rc::check("failures one after the other, under any load", [] {
         auto gateways = *rc::gen::inRange(2, 13);
         auto controllers = *rc::gen::inRange(1, 5);
         Fleet fleet(gateways, controllers);
-        fleet.pass(3s);
+        fleet.advance(3s);
         for (int i = 0; i < 2; ++i) {
             fleet.load(rule.perSecond * *rc::gen::inRange(0, 7), *rc::gen::inRange(10, 80) * 100ms);
             auto which = static_cast<std::size_t>(*rc::gen::inRange(0, 1000));
             auto kind = *rc::gen::inRange(0, 4);
             if (kind == 0)
-                fleet.cut(which % gateways, which / 7 % (controllers + 1));
+                fleet.partition(which % gateways, which / 7 % (controllers + 1));
             else if (kind == 1)
                 fleet.restartGateway(which % gateways);
             else if (kind == 2)
@@ -350,6 +350,6 @@
             fleet.freeze(which % gateways, false);
             fleet.load(rule.perSecond * load, 8s);
         }
-        RC_ASSERT(fleet.mostInWindow() <= fleet.bound());
+        RC_ASSERT(fleet.maxInWindow() <= fleet.bound());
     }));
 }
--- a/test/correctness/RegistryTest.cpp
+++ b/test/correctness/RegistryTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * How processes come to know the same replicas: heartbeats that name only what was not renewed, digests, and lists.
+ * Synchronization of replica registries between processes: heartbeats that list only stale entries, digests, and full lists.
  */
 #include "message/Codec.h"
 #include "request/fleet/RegistryFollower.h"
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr Instant start { std::chrono::seconds(1000) };
-constexpr auto unrenewed = ReplicaRegistry::HeartbeatScope::Stale;
-constexpr PeerId first { 1 };
-constexpr PeerId second { 2 };
+constexpr auto stale = ReplicaRegistry::HeartbeatScope::Stale;
+constexpr PeerId firstPeer { 1 };
+constexpr PeerId secondPeer { 2 };
 
 Announcement replica(int n, std::uint64_t sequence = 1, ReplicaStart began = {}, ReplicaState state = ReplicaState::Ready)
 {
@@ -40,8 +40,8 @@
     return registry;
 }
 
-/// What a process learns from another one's answer.
-void take(ReplicaRegistry& registry, const RegistryList& list, Instant now)
+/// Applies a list that another process has sent.
+void apply(ReplicaRegistry& registry, const RegistryList& list, Instant now)
 {
     for (const auto& announced : list.known)
         registry.announce(announced.announcement, announced.age, now);
@@ -53,54 +53,54 @@
 
 } // namespace
 
-TEST_CASE("a heartbeat names only what was not renewed, and its size does not grow with the replicas that are")
+TEST_CASE("a heartbeat lists only stale entries, and its size does not grow with the number of fresh ones")
 {
-    // Symptom: processes that have nothing to do take processor time and bytes that grow with replicas times links. Sequence: each
-    // controller tells each link the age of each replica once a second. Cause: what has not changed was told again.
+    // Guards against processor time and traffic of idle processes that grow with replicas times links: each controller sent each link the
+    // age of each replica once a second, although nothing had changed.
     auto few = registryOf(10);
     auto many = registryOf(10000);
-    auto bytes = [](const ReplicaRegistry& registry) { return encode(registry.heartbeat(unrenewed, start + 1s)).size(); };
+    auto bytes = [](const ReplicaRegistry& registry) { return encode(registry.heartbeat(stale, start + 1s)).size(); };
     CHECK(bytes(many) <= bytes(few) + 8);
     many.renew({ "i-7", {} }, 0s, start + 5s);
-    auto heartbeat = many.heartbeat(unrenewed, start + 5s);
+    auto heartbeat = many.heartbeat(stale, start + 5s);
     CHECK(heartbeat.ages.size() == 9999);
     CHECK_FALSE(heartbeat.ages.contains("i-7"));
 }
 
-TEST_CASE("who knows the same replicas renews all that a heartbeat does not name")
+TEST_CASE("a process that knows the same replicas renews all entries that a heartbeat does not list")
 {
     auto sender = registryOf(20);
     auto receiver = registryOf(20);
-    for (int second = 1; second <= 30; ++second) {
-        auto now = start + second * 1s;
+    for (int tick = 1; tick <= 30; ++tick) {
+        auto now = start + tick * 1s;
         for (int i = 1; i < 20; ++i)
-            sender.announce(replica(i, static_cast<std::uint64_t>(second) + 1), 0s, now);
-        receiver.renew(sender.heartbeat(unrenewed, now), now);
+            sender.announce(replica(i, static_cast<std::uint64_t>(tick) + 1), 0s, now);
+        receiver.renew(sender.heartbeat(stale, now), now);
         for (int i = 1; i < 20; ++i)
             CHECK_FALSE(receiver.entries().at("i-" + std::to_string(i)).isOverdue(now));
     }
-    // The one that crashed after the first second is found out at both.
+    // Both detect the replica that has not announced itself again.
     CHECK(sender.entries().at("i-0").isSilent(start + 30s));
     CHECK(receiver.entries().at("i-0").isSilent(start + 30s));
 }
 
-TEST_CASE("a replica that falls silent is found out within a second of when its controller finds out")
+TEST_CASE("a silent replica is detected within a second of its detection at the controller")
 {
     auto sender = registryOf(2);
     auto receiver = registryOf(2);
     for (auto now = start; now < start + 20s; now += 1s) {
         sender.announce(replica(1, static_cast<std::uint64_t>(now.time_since_epoch().count())), 0s, now);
-        receiver.renew(sender.heartbeat(unrenewed, now), now);
+        receiver.renew(sender.heartbeat(stale, now), now);
         if (sender.entries().at("i-0").isSilent(now - 1s))
             CHECK(receiver.entries().at("i-0").isSilent(now));
     }
 }
 
-TEST_CASE("controllers that renew each other's replicas find out the one that has crashed")
+TEST_CASE("controllers that renew each other's entries detect a replica that has crashed")
 {
-    // Symptom: after replicas were replaced, gateways send to the former ones, whose addresses are other replicas' by then: 98 calls of 150
-    // requests in 10 s were answered as misdirected. Sequence: a replica ends without a word; two controllers go on with heartbeats to each
-    // other. Cause: a run that a heartbeat did not name counted as heard of 0.8 s ago, at both in turn, for ever.
+    // Guards against gateways that send requests to replaced replicas, whose addresses belong to other replicas by then: of 150 requests in
+    // 10 s, 98 calls were answered as misdirected. A replica ends without withdrawing, and two controllers continue to send each other
+    // heartbeats. A run that a heartbeat did not list counted as heard from 0.8 s ago, at both in turn, forever.
     auto a = registryOf(2);
     auto b = registryOf(2);
     auto gateway = registryOf(2);
@@ -111,11 +111,11 @@
             a.announce(replica(1, static_cast<std::uint64_t>(i)), 0s, now);
         if (i % 10 == 3) {
             b.renew(a.heartbeat(ReplicaRegistry::HeartbeatScope::All, now), now);
-            gateway.renew(a.heartbeat(unrenewed, now), now);
+            gateway.renew(a.heartbeat(stale, now), now);
         }
         if (i % 10 == 7) {
             a.renew(b.heartbeat(ReplicaRegistry::HeartbeatScope::All, now), now);
-            gateway.renew(b.heartbeat(unrenewed, now), now);
+            gateway.renew(b.heartbeat(stale, now), now);
         }
         for (const auto* registry : { &a, &b, &gateway })
             CHECK_FALSE(registry->entries().at("i-1").isSilent(now));
@@ -126,15 +126,15 @@
     }
 }
 
-TEST_CASE("who does not know the same replicas renews those alone that are named")
+TEST_CASE("a process that knows other replicas renews only the entries that are listed")
 {
-    // Symptom: a replica that has ended is sent to. Sequence: a controller has heard of its newer run, or of its end; this process has not,
-    // and takes a heartbeat to mean the run that it knows. Cause: what is not named says nothing to who knows something else.
+    // Guards against requests to a replica that has ended. A controller knows its newer run, or its end; this process does not, and applies
+    // a heartbeat to the run that it knows. Entries that are not listed say nothing to a process with another digest.
     auto sender = registryOf(3);
     auto receiver = registryOf(3);
     sender.announce(replica(0, 1, ReplicaStart(5)), 0s, start + 3s);
     sender.renew({ "i-1", {} }, 0s, start + 10s);
-    auto heartbeat = sender.heartbeat(unrenewed, start + 10s);
+    auto heartbeat = sender.heartbeat(stale, start + 10s);
     CHECK(heartbeat.digest != receiver.digest());
     receiver.renew(heartbeat, start + 10s);
     CHECK((receiver.entries().at("i-0").lastHeardAt == start));
@@ -142,7 +142,7 @@
     CHECK((receiver.entries().at("i-2").lastHeardAt == start));
 }
 
-TEST_CASE("a heartbeat of a release that sends no digest renews what it names, and nothing else")
+TEST_CASE("a heartbeat of a release that sends no digest renews the entries that it lists, and no others")
 {
     auto receiver = registryOf(2);
     receiver.renew(RegistryHeartbeat { { { "i-0", 0s } }, 1, {}, { 0 } }, start + 5s);
@@ -150,18 +150,18 @@
     CHECK((receiver.entries().at("i-1").lastHeardAt == start));
 }
 
-TEST_CASE("the digest tells apart what is news, and nothing else")
+TEST_CASE("the digest changes with the state of replicas, and not with repeated announcements")
 {
     auto registry = registryOf(5);
     auto before = registry.digest();
     registry.announce(replica(0, 9), 0s, start + 1s);
     CHECK(registry.digest() == before);
     SUBCASE("a replica drains") { registry.announce(replica(0, 10, {}, ReplicaState::Draining), 0s, start); }
-    SUBCASE("a replica has started again") { registry.announce(replica(0, 1, ReplicaStart(7)), 0s, start); }
+    SUBCASE("a replica has restarted") { registry.announce(replica(0, 1, ReplicaStart(7)), 0s, start); }
     SUBCASE("a replica has ended") { registry.withdraw(replica(0).run(), start); }
-    SUBCASE("a replica comes") { registry.announce(replica(5), 0s, start); }
+    SUBCASE("a replica is added") { registry.announce(replica(5), 0s, start); }
     SUBCASE("a replica changes its stage") { registry.changeStage({ "i-0", UpstreamKind::Decode, 5s, {} }, start); }
-    SUBCASE("a replica is forgotten")
+    SUBCASE("a replica's entry expires")
     {
         for (int i = 1; i < 5; ++i)
             registry.renew({ "i-" + std::to_string(i), {} }, 0s, start + 50s);
@@ -170,7 +170,7 @@
     CHECK(registry.digest() != before);
 }
 
-TEST_CASE("a change of stage that is over leaves no difference between processes")
+TEST_CASE("an expired stage change leaves no difference between digests")
 {
     auto registry = registryOf(1);
     auto before = registry.digest();
@@ -179,9 +179,9 @@
     CHECK(registry.digest() == before);
 }
 
-TEST_CASE("a list makes a process know what its sender knows, whatever either had heard")
+TEST_CASE("after exchanging lists two processes know the same replicas, whatever they knew before")
 {
-    CHECK(rc::check("two histories, and a list each way", [] {
+    CHECK(rc::check("any two histories, and a list in each direction", [] {
         ReplicaRegistry a;
         ReplicaRegistry b;
         for (auto* registry : { &a, &b }) {
@@ -195,54 +195,55 @@
                     registry->withdraw(of.run(), start);
             }
         }
-        take(a, b.list(start), start);
-        take(b, a.list(start), start);
-        // Two announcements of one run with the same number may differ here, as no replica's do; then each keeps its own.
+        apply(a, b.list(start), start);
+        apply(b, a.list(start), start);
+        // Unlike those of a real replica, two announcements of one run with the same sequence number may differ here. Each process keeps
+        // its own then.
         for (const auto& [id, entry] : a.entries())
             RC_ASSERT(b.find(entry.announcement.run()));
         RC_ASSERT(a.entries().size() == b.entries().size());
     }));
 }
 
-TEST_CASE("one process is asked at a time, another one when it does not answer, and none that knows nothing")
+TEST_CASE("one peer is queried at a time, another one if it does not respond, and none whose list is empty")
 {
     RegistryFollower follower;
-    follower.digestReceived(first, 7, 0);
+    follower.digestReceived(firstPeer, 7, 0);
     CHECK_FALSE(follower.nextPeerToQuery(1, start));
-    follower.digestReceived(first, 7, 5);
-    follower.digestReceived(second, 7, 5);
-    CHECK((follower.nextPeerToQuery(1, start) == first));
+    follower.digestReceived(firstPeer, 7, 5);
+    follower.digestReceived(secondPeer, 7, 5);
+    CHECK((follower.nextPeerToQuery(1, start) == firstPeer));
     CHECK_FALSE(follower.nextPeerToQuery(1, start + 100ms));
     CHECK((follower.nextWake() == start + RegistryFollower::responseTimeout));
-    SUBCASE("the answer makes both agree")
+    SUBCASE("the response makes both agree")
     {
-        follower.listReceived(first);
+        follower.listReceived(firstPeer);
         CHECK_FALSE(follower.nextPeerToQuery(7, start + 200ms));
         CHECK((follower.nextWake() == Instant::max()));
     }
-    SUBCASE("no answer") { CHECK((follower.nextPeerToQuery(1, start + RegistryFollower::responseTimeout) == second)); }
-    SUBCASE("its link ends")
+    SUBCASE("no response") { CHECK((follower.nextPeerToQuery(1, start + RegistryFollower::responseTimeout) == secondPeer)); }
+    SUBCASE("the peer disconnects")
     {
-        follower.disconnected(first);
-        CHECK((follower.nextPeerToQuery(1, start + 100ms) == second));
+        follower.disconnected(firstPeer);
+        CHECK((follower.nextPeerToQuery(1, start + 100ms) == secondPeer));
     }
-    SUBCASE("the answer leaves a difference: each is asked once a second")
+    SUBCASE("the digests still differ after the response: each peer is queried once a second")
     {
-        follower.listReceived(first);
-        CHECK((follower.nextPeerToQuery(3, start + 100ms) == second));
-        follower.listReceived(second);
+        follower.listReceived(firstPeer);
+        CHECK((follower.nextPeerToQuery(3, start + 100ms) == secondPeer));
+        follower.listReceived(secondPeer);
         CHECK_FALSE(follower.nextPeerToQuery(3, start + 900ms));
-        CHECK((follower.nextPeerToQuery(3, start + RegistryFollower::retryInterval) == first));
+        CHECK((follower.nextPeerToQuery(3, start + RegistryFollower::retryInterval) == firstPeer));
     }
 }
 
-TEST_CASE("a gateway that starts beside ten controllers asks one of them for the list, and then none")
+TEST_CASE("a gateway that starts with ten controllers requests the list from one of them, and from no other after that")
 {
-    // Symptom: gateways serve nothing in the second after a loss of all instances, with the processor busy. Sequence: ten controllers tell
-    // a gateway that has linked to them 185 replicas each, one message a replica. Cause: what one had told was told by all others too.
+    // Guards against gateways that serve nothing in the second after a loss of all instances, with the processor busy. Ten controllers each
+    // sent a gateway that had connected 185 replicas, one message per replica, though the first had sent the same already.
     auto known = registryOf(185);
     ForwardLogic gateway({ "z", 1, { 0.2, 60, 10s }, "gateway" });
-    auto asked = [](const ForwardLogic::Effects& effects) {
+    auto requestsIn = [](const ForwardLogic::Effects& effects) {
         std::vector<PeerId> list;
         for (const auto& effect : effects) {
             if (const auto* ask = std::get_if<forward::AskRegistry>(&effect))
@@ -252,12 +253,12 @@
     };
     std::vector<PeerId> all;
     for (std::uint64_t n = 1; n <= 10; ++n) {
-        for (auto id : asked(gateway.step(forward::RegistryTold { PeerId(n), known.heartbeat(unrenewed, start) }, start)))
+        for (auto id : requestsIn(gateway.step(forward::RegistryTold { PeerId(n), known.heartbeat(stale, start) }, start)))
             all.push_back(id);
     }
     REQUIRE(all.size() == 1);
-    CHECK(asked(gateway.step(forward::RegistryListed { all.front(), known.list(start) }, start + 50ms)).empty());
+    CHECK(requestsIn(gateway.step(forward::RegistryListed { all.front(), known.list(start) }, start + 50ms)).empty());
     CHECK(gateway.replicas().registry().digest() == known.digest());
     for (std::uint64_t n = 1; n <= 10; ++n)
-        CHECK(asked(gateway.step(forward::RegistryTold { PeerId(n), known.heartbeat(unrenewed, start + 1s) }, start + 1s)).empty());
+        CHECK(requestsIn(gateway.step(forward::RegistryTold { PeerId(n), known.heartbeat(stale, start + 1s) }, start + 1s)).empty());
 }
