--- a/src/request/fleet/AccountQuota.h
+++ b/src/request/fleet/AccountQuota.h
@@ -57,7 +57,8 @@
     /// \param now when this gateway first received the rule.
     AccountQuota(const QuotaRule&, const QuotaSettings&, Instant now);
 
-    /// Applies the rule of a newer document. The difference in depth is added to or removed from the bucket immediately.
+    /// Applies the rule of a newer document. A higher limit immediately adds the difference in depth to the bucket; a lower one caps the
+    /// bucket at the new depth.
     void setRule(const QuotaRule&);
 
     struct Verdict {
