--- a/src/request/fleet/AccountQuotas.h
+++ b/src/request/fleet/AccountQuotas.h
@@ -47,10 +47,10 @@
 
     /// A report to all controllers.
     struct Report {
-        std::vector<AccountUse> uses;
+        std::vector<AccountUsage> uses;
         std::optional<PeerId> totalsSource; ///< The controller whose totals this gateway applies.
         bool asksForAll = false;
-        GatewaysSeen told;
+        GatewayCounts told;
     };
     /// \returns nothing before `nextReport`, or without contact to a controller.
     std::optional<Report> report(Instant now);
@@ -63,7 +63,7 @@
 private:
     AccountQuota* find(const std::string& account, Instant now);
     void chooseTotalsSource(Instant now);
-    [[nodiscard]] GatewaysSeen gatewaysSeen(Instant now) const;
+    [[nodiscard]] GatewayCounts gatewaysSeen(Instant now) const;
     void capUnreported(Instant now);
 
     QuotaSettings m_settings;
@@ -76,7 +76,7 @@
     std::map<PeerId, Instant> m_lastHeardAt; ///< By controller.
     std::optional<PeerId> m_totalsSource;
     bool m_knowsBusyAccounts = false; ///< A controller has sent all busy accounts since contact began.
-    GatewaysSeen m_gatewaysSeen; ///< By `m_totalsSource`, received at `m_gatewaysSeenAt`.
+    GatewayCounts m_gatewaysSeen; ///< By `m_totalsSource`, received at `m_gatewaysSeenAt`.
     Instant m_gatewaysSeenAt;
     std::optional<PeerId> m_previousSource; ///< It stopped sending totals of a busy account, and is chosen only if there is no other.
     Instant m_reportAt = Instant::max();
--- a/src/request/fleet/InheritedReserve.h
+++ b/src/request/fleet/InheritedReserve.h
@@ -37,7 +37,7 @@
 
     Duration m_reservationPeriod;
     std::optional<Instant> m_firstReportAt; ///< When the first report arrived.
-    GatewaysSeen m_gatewaysSeen;
+    GatewayCounts m_gatewaysSeen;
     std::unordered_map<AccountId, double> m_perSecond;
 };
 
--- a/src/request/fleet/QuotaAggregator.cpp
+++ b/src/request/fleet/QuotaAggregator.cpp
@@ -49,7 +49,7 @@
     return static_cast<std::uint32_t>(m_gateways.size()) + static_cast<std::uint32_t>(unconnected);
 }
 
-GatewaysSeen QuotaAggregator::gatewaysSeen() const { return { gatewayCount(), static_cast<std::uint32_t>(m_lostGateways.size()) }; }
+GatewayCounts QuotaAggregator::gatewaysSeen() const { return { gatewayCount(), static_cast<std::uint32_t>(m_lostGateways.size()) }; }
 
 void QuotaAggregator::take(PeerId from, const QuotaReport& report, Instant now)
 {
@@ -129,7 +129,7 @@
     for (auto& [peer, gateway] : m_gateways) {
         if (!gateway.wantsTotals)
             continue;
-        if (auto totals = totalsFor(gateway, now); totals.isAll || !totals.totals.empty())
+        if (auto totals = totalsFor(gateway, now); totals.isComplete || !totals.totals.empty())
             all.emplace_back(peer, std::move(totals));
     }
     return all;
