--- a/src/request/fleet/AccountQuotas.cpp
+++ b/src/request/fleet/AccountQuotas.cpp
@@ -66,7 +66,7 @@
 void AccountQuotas::take(PeerId controller, const QuotaTotals& totals, Instant now)
 {
     noteContact(controller, now);
-    // Another one's totals hold the same use once more.
+    // Another controller's totals contain the same usage again.
     if (controller != m_totalsSource)
         return;
     m_gatewaysSeen = totals.gateways;
@@ -88,7 +88,7 @@
     }
 }
 
-/// Each gateway has its own order of the controllers, so that each of these tells a like number.
+/// Rendezvous hashing: each gateway ranks the controllers in an order of its own, so that all controllers serve about as many gateways.
 void AccountQuotas::chooseTotalsSource(Instant now)
 {
     bool isSilent
@@ -98,8 +98,8 @@
     if (m_totalsSource && m_lastHeardAt.contains(*m_totalsSource) && now - m_lastHeardAt.at(*m_totalsSource) <= contactTimeout)
         return;
     m_totalsSource.reset();
-    // What the former one told to be busy may not be so by now, and the new one would not say it: a gateway that waits for news of such an
-    // account keeps to its part of the limit, and refuses callers that the limit allows.
+    // An account that the previous controller broadcast as busy may no longer be, and the new one would not mention it. Waiting for its
+    // total, this gateway would stay within its share and refuse requests that the limit allows, so it requests all busy accounts.
     m_knowsBusyAccounts = false;
     std::uint64_t lowest = 0;
     auto consider = [&](PeerId controller) {
@@ -117,7 +117,7 @@
         m_totalsSource = m_previousSource;
 }
 
-/// Nobody would hear of it. What was used shortly before somebody does is told then.
+/// Called while no controller is reachable. The usage that is kept is reported when one is reachable again.
 void AccountQuotas::capUnreported(Instant now)
 {
     for (auto& [name, quota] : m_accounts)
@@ -125,7 +125,7 @@
     m_reportAt = now + reportInterval;
 }
 
-/// For controllers that have just started: they miss those that were counted before and don't come.
+/// Tells controllers that have just started how many gateways there were, so that they reserve shares for those that don't connect.
 GatewayCounts AccountQuotas::gatewaysSeen(Instant now) const
 {
     auto seen = now - m_gatewaysSeenAt <= gatewaysSeenLifetime ? m_gatewaysSeen : GatewayCounts();
--- a/test/correctness/AccountTest.cpp
+++ b/test/correctness/AccountTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Client accounts at a gateway that calls upstreams itself: whose request it is, and who is let in.
+ * Client accounts at a gateway that calls upstreams directly: which account a request belongs to, and which requests are admitted.
  */
 #include "ForwardBench.h"
 #include "request/fleet/RequestFingerprint.h"
@@ -20,7 +20,7 @@
     return rule;
 }
 
-/// With two accounts, and a public route.
+/// A document with a public route, and with these accounts.
 RoutingDocument documentOf(std::uint64_t version, std::vector<AccountRule> accounts)
 {
     auto out = document(version);
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("a request runs for the account whose key its caller shows, and for nobody else")
+TEST_CASE("a request runs for the account whose key it carries, and is refused without a valid key")
 {
     Site site;
     site.requestWithKey("/once/x", "k2");
@@ -60,7 +60,7 @@
     }
 }
 
-TEST_CASE("a public route needs no key, and an unknown one is no account")
+TEST_CASE("a public route needs no key, and an unknown key counts as no account")
 {
     Site site;
     for (const auto* key : { "", "k4" }) {
@@ -71,7 +71,7 @@
     CHECK(site.only<Send>().account == "gate");
 }
 
-TEST_CASE("a document without accounts asks for no key and tells replicas of none")
+TEST_CASE("a document without accounts requires no key, and no account is passed to replicas")
 {
     Bench bench;
     bench.serve().replica("r1");
@@ -79,7 +79,7 @@
     CHECK(!bench.only<Send>().account);
 }
 
-TEST_CASE("an empty list of accounts lets nobody in, and no list yet refuses nobody for good")
+TEST_CASE("an empty list of accounts admits nobody, and a list that has not arrived yet is a temporary error")
 {
     Bench bench;
     bench.replica("r1");
@@ -92,24 +92,24 @@
     CHECK(bench.only<Refuse>().error.code == ResultCode::UnknownAccount);
 }
 
-TEST_CASE("a gateway that hears no controller does not say of a key that nobody holds it")
+TEST_CASE("a gateway without contact to a controller does not reject an unknown key for good")
 {
     Site site;
     site.now += AccountQuotas::contactTimeout + 1ms;
     site.requestWithKey("/once/x", "k4");
     CHECK(site.only<Refuse>().error.code == ResultCode::ConfigUnavailable);
     CHECK(site.only<Refuse>().error.retryAfter);
-    // One who shows none is refused whatever documents there may be.
+    // A caller without a key is refused by any document.
     site.requestWithKey("/once/x", "");
     CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
-    // Those that are known are served on.
+    // Callers with a known key are still served.
     site.requestWithKey("/once/x", "k1");
     CHECK(site.effects<Send>().size() == 1);
 }
 
-TEST_CASE("a key that is taken away ends what waits for an engine, and not what runs")
+TEST_CASE("revoking a key ends requests that wait for an engine, and not requests that run")
 {
-    // Guards against a caller without an account that is served after its key was taken away.
+    // Guards against serving a caller after its key was revoked.
     Site site;
     site.replica("d1", UpstreamKind::Decode).replica("p1", UpstreamKind::Prefill);
     auto running = site.run(site.submit("/stream/x", 14s, {}, "k1"));
@@ -125,7 +125,7 @@
     CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
 }
 
-TEST_CASE("an account's rank goes before its route's when requests wait for an engine")
+TEST_CASE("an account's rank overrides its route's when requests wait for an engine")
 {
     Site site;
     site.replica("d1", UpstreamKind::Decode).replica("p1", UpstreamKind::Prefill);
@@ -145,7 +145,7 @@
     CHECK((site.effects<ReserveAtReplica>().front().id == urgent));
 }
 
-TEST_CASE("two keys of one account make one caller of a request that crashes replicas")
+TEST_CASE("a request that crashes replicas has the same fingerprint under all keys of an account")
 {
     Site site;
     RequestFingerprint print(7);
@@ -169,7 +169,7 @@
 
 namespace {
 
-/// A site whose account may use 1,000 tokens a second and a burst of two large requests, and that hears a controller.
+/// A site in contact with a controller, with an account that may use 1,000 tokens a second and a burst of two large requests.
 struct LimitedSite : Bench {
     LimitedSite()
         : Bench({ "zone-1", 1, { 0.2, 60, 10s }, "gateway-1" })
@@ -192,7 +192,7 @@
 
 } // namespace
 
-TEST_CASE("an account beyond its quota is refused before a replica is asked for anything, and told when to come back")
+TEST_CASE("an account beyond its quota is refused before any replica is called, and told when to retry")
 {
     LimitedSite site;
     site.receiveTotals();
@@ -208,14 +208,14 @@
     CHECK(*error.retryAfter > 1s);
     CHECK(site.effects<ReserveAtReplica>().empty());
     CHECK(site.effects<Send>().empty());
-    // Another account is none the worse for it.
+    // Another account is not affected.
     site.submit("/once/x", 600ms, {}, "k3");
     CHECK(site.effects<Send>().size() == 1);
 }
 
 namespace {
 
-/// Engines with room for half as many callers again as come on an ordinary day, and sixteen accounts with 1.8 times what they send.
+/// Engines with a capacity of 1.5 times the normal load, and sixteen accounts with quotas of 1.8 times what they normally send.
 class LoadedSite : public Bench {
 public:
     LoadedSite()
@@ -231,7 +231,7 @@
         served.assign(accountCount, 0);
     }
 
-    /// \param perSecond requests of the first account; each of the others sends one a second.
+    /// \param perSecond requests per second of the first account; each of the others sends one. Without a value none sends any.
     void simulate(Duration time, std::optional<int> perSecond)
     {
         for (auto end = now + time; now < end; ++m_step) {
@@ -252,7 +252,7 @@
         }
     }
     std::vector<int> served; ///< By account.
-    int refused = 0; ///< Of others than the first account.
+    int refused = 0; ///< Requests of other accounts than the first.
 
 private:
     static constexpr int accountCount = 16;
@@ -283,7 +283,7 @@
         respond();
     }
 
-    /// The engines' answers to what was done last: a prompt takes 20 ms, an answer a second.
+    /// Simulates the engines' responses to the latest effects: a prefill takes 20 ms, a complete response one second.
     void respond()
     {
         for (const auto& take : effects<ReserveAtReplica>())
@@ -314,7 +314,7 @@
 
 } // namespace
 
-TEST_CASE("an account that sends six times its usual is served its quota, and the others as on any day")
+TEST_CASE("an account that sends six times its normal load is served its quota, and the others as under normal load")
 {
     LoadedSite baseline;
     baseline.simulate(20s, 1);
@@ -330,7 +330,7 @@
     CHECK(overloaded.served[0] <= 1.8 * 20 + 2 + 1);
 }
 
-TEST_CASE("a request that is refused for want of room costs its account nothing, and one that may have run does")
+TEST_CASE("a request that is refused for lack of capacity is not charged to its account, and one that may have run is")
 {
     LimitedSite site;
     site.receiveTotals();
@@ -348,7 +348,7 @@
     CHECK(remaining() == doctest::Approx(before - 200));
 }
 
-TEST_CASE("what is used is reported to all controllers, under the account's hash and with its limit")
+TEST_CASE("usage is reported to all controllers, with the account's hash and limit")
 {
     LimitedSite site;
     site.receiveTotals();
--- a/test/failure/QuotaTortureTest.cpp
+++ b/test/failure/QuotaTortureTest.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Failures on failures while an account asks for far more than its limit: quota-torture-test SEED SCHEDULES.
+ * Injects overlapping failures while an account requests far more than its limit: quota-torture-test SEED SCHEDULES.
  *
- * Guards against gateways that admit more together than the rule of the limit allows in some window.
+ * Guards against gateways that together admit more than the limit's rule allows in some window.
  */
 #include "QuotaFleet.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A schedule of a dozen failures within half a minute, drawn by its seed.
+/// A random schedule of a dozen failures within half a minute, determined by its seed.
 class Schedule {
 public:
     explicit Schedule(std::uint32_t seed)
@@ -25,7 +25,7 @@
     {
     }
 
-    /// \returns the most that was admitted in a window, as a part of what is allowed.
+    /// \returns the largest amount admitted in any window, as a fraction of what is allowed.
     double run()
     {
         m_fleet.advance(draw(0, 4) * 1s);
