--- a/src/request/forward/EventSplitter.cpp
+++ b/src/request/forward/EventSplitter.cpp
@@ -27,14 +27,14 @@
         return std::nullopt;
     }
 
-    /// Where the event at the start of `text` ends, its blank line included, or npos.
+    /// \returns the length of the event at the start of `text`, including its blank line, or npos if it is incomplete.
     std::size_t endOfEvent(std::string_view text)
     {
-        auto plain = text.find("\n\n");
-        auto withReturns = text.find("\r\n\r\n");
-        if (withReturns != std::string_view::npos && (plain == std::string_view::npos || withReturns < plain))
-            return withReturns + 4;
-        return plain == std::string_view::npos ? plain : plain + 2;
+        auto lf = text.find("\n\n");
+        auto crlf = text.find("\r\n\r\n");
+        if (crlf != std::string_view::npos && (lf == std::string_view::npos || crlf < lf))
+            return crlf + 4;
+        return lf == std::string_view::npos ? lf : lf + 2;
     }
 
 } // namespace
--- a/src/request/forward/EventSplitter.h
+++ b/src/request/forward/EventSplitter.h
@@ -1,7 +1,7 @@
 /** \file
- * Cuts a `text/event-stream` into whole events, so that a stream which breaks inside one never shows half of it.
+ * Splits a `text/event-stream` into complete events, so that a stream that is cut inside an event never passes on part of it.
  *
- * Example: from `id: 7\ndata: a\n\nid: 8\nda` it gives one event with id 7 and keeps the rest for the next call.
+ * Example: `id: 7\ndata: a\n\nid: 8\nda` yields one event with id 7; the remaining bytes are kept for the next call.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace wrenhinge {
 
-/// One event with its blank line.
+/// One event, including the blank line that ends it.
 struct StreamEvent {
     std::string bytes;
     std::optional<std::uint64_t> id;
@@ -21,9 +21,9 @@
 
 class EventSplitter {
 public:
-    /// Takes the next bytes of the stream. \returns the events that are whole now.
+    /// Appends the next bytes of the stream. \returns the events that are now complete.
     std::vector<StreamEvent> push(std::string_view bytes);
-    /// What came after the last whole event.
+    /// The bytes after the last complete event.
     [[nodiscard]] const std::string& rest() const { return m_rest; }
     void clear() { m_rest.clear(); }
 
--- a/src/request/forward/ForwardAccounts.cpp
+++ b/src/request/forward/ForwardAccounts.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of ForwardLogic that is about client accounts: whose request it is, and whether the account may still ask for it.
+ * The part of ForwardLogic for client accounts: authentication and quotas.
  */
 #include "request/fleet/RequestFingerprint.h"
 #include "request/forward/ForwardLogic.h"
@@ -10,31 +10,31 @@
 
 using namespace forward;
 
-/// Finds the account of the key that the caller shows, by the document in force when the request begins. \returns false if the request
-/// was refused.
+/// Looks up the account of the caller's key in the document that is in effect when the request begins. \returns false if the request was
+/// refused.
 bool ForwardLogic::authenticate(Flow& flow, Instant now)
 {
     auto& request = flow.request;
     if (!flow.table->hasAccounts()) {
-        // Nobody says whose keys these are, so each stands for itself.
+        // Without accounts, each key counts as an account of its own.
         request.fingerprint = ofAccount(request.fingerprint, request.key ? request.key->hex() : "");
         return true;
     }
     flow.account = request.key ? flow.table->account(*request.key) : nullptr;
     if (!flow.account && !flow.route->isPublic) {
-        // A gateway that hears no controller may only not have heard of the key yet, and 401 is final for a caller.
+        // A gateway without contact to a controller may not know a new key yet, and callers don't retry after a 401.
         bool mayHaveMissedIt = !m_quotas.isHearing(now);
         ++m_refusedKeys;
-        auto shown = request.key ? "the key " + request.key->shortHex() + " is no account's" : std::string("no key is shown");
+        auto reason = request.key ? "the key " + request.key->shortHex() + " is no account's" : std::string("no key is shown");
         auto code = mayHaveMissedIt && request.key ? ResultCode::ConfigUnavailable : ResultCode::UnknownAccount;
-        refuse(flow, code, shown, now);
+        refuse(flow, code, reason, now);
         return false;
     }
     request.fingerprint = ofAccount(request.fingerprint, flow.account ? flow.account->name : "");
     return true;
 }
 
-/// Requests that wait for an engine while their caller's key is taken away would run for a caller that has no account any more.
+/// Refuses requests that have not been sent yet and whose key has been revoked, so that they don't run without an account.
 void ForwardLogic::refuseRevokedKeys(Instant now)
 {
     if (!m_table || !m_table->hasAccounts())
@@ -52,10 +52,10 @@
     }
 }
 
-/// The account's rank goes before the route's.
+/// The rank of the account, if it has one, overrides that of the route.
 std::uint32_t ForwardLogic::rankOf(const Flow& flow) { return flow.account && flow.account->rank ? *flow.account->rank : flow.route->rank; }
 
-/// What a replica is told of whose request it is; nothing where the document has no accounts.
+/// The account name to send to the replica; nothing if the document has no accounts.
 std::optional<std::string> ForwardLogic::accountOf(const Flow& flow)
 {
     if (!flow.table->hasAccounts())
@@ -75,7 +75,7 @@
     m_quotas.setRules(rules, now);
 }
 
-/// What the request counts as, in the unit of its account's quota: a request, or the tokens that its caller states.
+/// The request's cost in the unit of its account's quota: one request, or the tokens that its caller states.
 double ForwardLogic::quotaCostOf(const Flow& flow)
 {
     const auto& quota = flow.account->quota;
@@ -84,29 +84,29 @@
     return flow.request.hasTokenCounts ? flow.request.promptTokens + flow.request.outputTokens : quota.plainTokens;
 }
 
-/// Refuses a request beyond its account's quota, before a replica or what others wait for is touched. \returns false if it did.
+/// Charges the request to its account's quota, before any shared resource is used. \returns false if it exceeds the quota and was refused.
 bool ForwardLogic::chargeQuota(Flow& flow, Instant now)
 {
     if (!flow.account)
         return true;
     auto amount = quotaCostOf(flow);
-    auto verdict = m_quotas.admit(flow.account->name, amount, now);
-    if (verdict.isAdmitted) {
+    auto decision = m_quotas.admit(flow.account->name, amount, now);
+    if (decision.isAdmitted) {
         flow.chargedQuota = amount;
         return true;
     }
     auto& quota = m_quotas.accounts().at(flow.account->name);
     auto toldAt = quota.toldAt();
-    auto heard = toldAt ? "told " + std::to_string((now - *toldAt) / 1ms) + " ms ago" : std::string("never told");
+    auto totalsAge = toldAt ? "told " + std::to_string((now - *toldAt) / 1ms) + " ms ago" : std::string("never told");
     refuseUntil(flow, ResultCode::AccountRateLimit,
         "account " + flow.account->name + " asks for " + std::to_string(std::llround(amount)) + " and has "
             + std::to_string(std::llround(quota.left(now))) + " left of " + std::to_string(std::llround(quota.rule().perSecond))
-            + " a second, " + heard,
-        verdict.retryAfter, now);
+            + " a second, " + totalsAge,
+        decision.retryAfter, now);
     return false;
 }
 
-/// What has surely not run is no use of the quota: a caller that was refused for another reason loses nothing of it.
+/// Refunds a request that certainly has not run: a refusal for another reason doesn't use up quota.
 void ForwardLogic::refundQuota(Flow& flow, ResultCode code, Instant now)
 {
     auto status = httpStatusOf(code);
--- a/src/request/forward/ForwardAnswers.cpp
+++ b/src/request/forward/ForwardAnswers.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of ForwardLogic that is about answers: what is passed on, what is sent once more, and how a request ends.
+ * The part of ForwardLogic for answers: passing them on, retries, and the end of a request.
  */
 #include "request/forward/ForwardLogic.h"
 
@@ -11,9 +11,9 @@
 
 namespace {
 
-    /// An answer that is gathered whole may have this many bytes; today's have a few thousand.
+    /// Size limit of an answer that is buffered completely. Answers in use have a few thousand bytes.
     constexpr std::size_t maxBufferedAnswerBytes = 16u << 20;
-    /// A caller heeds a pause of up to a third of what it has left; a quarter leaves room for its way back.
+    /// Retry-After is the caller's remaining time divided by this. Callers heed up to a third; a quarter leaves time for the transfer.
     constexpr int retryAfterDivisor = 4;
     constexpr Duration minRetryAfter = 40ms;
     constexpr Duration maxRetryAfter = 1s;
@@ -61,7 +61,7 @@
 void ForwardLogic::forwardEvents(Flow& flow, std::string bytes, Instant now)
 {
     for (auto& event : flow.splitter.push(bytes)) {
-        // A replica that takes over may repeat the event after which it was asked to go on.
+        // A replica that resumes a stream may repeat the event after which it was asked to resume.
         if (event.id && flow.lastEventId && *event.id <= *flow.lastEventId)
             continue;
         if (!flow.hasStreamStarted) {
@@ -137,7 +137,7 @@
         "stream after " + std::to_string((now - flow.arrivedAt) / 1ms) + " ms, longest pause " + std::to_string(flow.longestGap / 1ms)
             + " ms" });
     m_effects.push_back(EndStream { flow.id });
-    // The rest of a stream tells nothing of a whole one.
+    // The duration of a resumed stream says nothing about that of a complete one.
     if (!flow.request.resumeAfter)
         m_forecast.note(flow.service, expectedTokensOf(flow), *flow.timeToFirstByte, now - flow.arrivedAt - *flow.timeToFirstByte);
     finish(flow, ResultCode::Ok, now);
@@ -173,7 +173,7 @@
     }
 }
 
-/// Breaks the present call off, if there is one: its answer is of no use any more.
+/// Cancels the current call, if there is one: its answer is no longer needed.
 void ForwardLogic::abandonCall(Flow& flow, Instant now)
 {
     if (!flow.isCalling)
@@ -189,7 +189,7 @@
     return flow.runs < flow.route->maxAttempts;
 }
 
-/// Sends the request once more if its route, the number of sends, the replicas and the budget allow it.
+/// Sends the request again if its route, the number of sends, the available replicas and the retry budget allow it.
 bool ForwardLogic::resend(Flow& flow, Instant now)
 {
     bool isPossible
@@ -217,7 +217,7 @@
     refuse(flow, flow.runs ? ResultCode::UpstreamFailed : notRun, reason, now);
 }
 
-// --- Ends -------------------------------------------------------------------------------------------------------
+// --- End of a request -------------------------------------------------------------------------------------------
 
 Duration ForwardLogic::retryAfter(const Flow& flow, Instant now) const
 {
--- a/src/request/forward/ForwardCrashes.cpp
+++ b/src/request/forward/ForwardCrashes.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of ForwardLogic that is about requests which crash the replicas that run them.
+ * The part of ForwardLogic for requests that crash the replicas which run them (CrashTracker).
  */
 #include "request/forward/ForwardLogic.h"
 
@@ -7,7 +7,8 @@
 
 using namespace forward;
 
-/// The connection of the flow's call has ended without a whole answer. One that leaves closes its connections too.
+/// Records that the connection of the flow's call was closed before the answer was complete. A draining replica also closes its
+/// connections, so that is not counted as a crash.
 void ForwardLogic::noteCrash(const Flow& flow, Instant now)
 {
     const auto* entry = m_replicas.registry().find(flow.replica);
@@ -15,10 +16,10 @@
     auto fingerprint = flow.request.fingerprint;
     if (isLeaving || fingerprint == RequestFingerprint())
         return;
-    auto news = m_crashes.noteCrash(fingerprint, flow.replica, now - flow.sentAt, now);
-    if (news.isEmpty())
+    auto changes = m_crashes.noteCrash(fingerprint, flow.replica, now - flow.sentAt, now);
+    if (changes.isEmpty())
         return;
-    reportCrashes(std::nullopt, std::move(news));
+    reportCrashes(std::nullopt, std::move(changes));
     recordIfRefused(fingerprint, now);
 }
 
@@ -27,7 +28,7 @@
     reportCrashes(std::nullopt, m_crashes.noteServed(flow.request.fingerprint, now));
 }
 
-/// \param controller nothing: all of them.
+/// \param controller the receiver; nothing: all controllers.
 void ForwardLogic::reportCrashes(std::optional<PeerId> controller, CrashReport report)
 {
     if (!report.isEmpty())
@@ -39,7 +40,7 @@
     return m_crashes.standing(flow.request.fingerprint, now) == CrashTracker::Standing::Refused;
 }
 
-/// It may have run, under another id, so this is no "not run"; nor is there a time at which to come back.
+/// An earlier request with the same fingerprint may have run, so the answer doesn't say "not run", and it has no Retry-After.
 void ForwardLogic::refuseAsCrashing(Flow& flow, Instant now) { refuse(flow, ResultCode::CrashesReplicas, CrashTracker::whyRefused, now); }
 
 void ForwardLogic::recordIfRefused(RequestFingerprint fingerprint, Instant now)
@@ -49,7 +50,7 @@
     m_effects.push_back(Note { EventCode::RequestCrashesReplicas, {}, m_crashes.text(fingerprint) });
 }
 
-/// A request that waits here while others like it have crashed replicas would crash one more.
+/// Refuses the requests whose fingerprint was refused in this step and that have not run yet: each would crash another replica.
 void ForwardLogic::refuseNewCrashFingerprints(Instant now)
 {
     auto refused = std::exchange(m_newCrashFingerprints, {});
@@ -68,14 +69,14 @@
 
 void ForwardLogic::on(const ControllerConnected& event, Instant now)
 {
-    // The controller may have started again and know nothing.
+    // The controller may have restarted and lost what it knew.
     reportCrashes(event.controller, m_crashes.describeAll(CrashTracker::Standing::Unknown, now));
 }
 
 void ForwardLogic::on(const CrashesReported& event, Instant now)
 {
-    auto news = m_crashes.take(event.report, now);
-    for (const auto& crash : news.crashes)
+    auto changes = m_crashes.take(event.report, now);
+    for (const auto& crash : changes.crashes)
         recordIfRefused(crash.request, now);
 }
 
--- a/src/request/forward/ForwardEffects.h
+++ b/src/request/forward/ForwardEffects.h
@@ -1,5 +1,5 @@
 /** \file
- * Effects of ForwardLogic, the decisions of a gateway that calls upstreams itself: what it asks its process to carry out.
+ * Effects of ForwardLogic: the actions that the state machine of a forwarding gateway requests from the process that runs it.
  */
 #pragma once
 
@@ -14,36 +14,38 @@
 
 namespace wrenhinge::forward {
 
-/// A slot and memory that a decode replica has set aside.
+/// A slot and KV memory that are reserved at a decode replica for one request.
 struct Reservation {
     ReplicaRun replica;
     std::string address;
-    std::string id; ///< Empty: a sidecar keeps it, and the replica knows nothing of it.
+    std::string id; ///< Issued by the replica. Empty: the reservation is held by the replica's sidecar, and the replica doesn't know of it.
 };
 
-/// Where a prompt's KV cache can be fetched, once.
+/// Where the KV cache of a prompt can be fetched from. It can be fetched only once.
 struct KvCacheSource {
     ReplicaRun replica;
     std::string address;
     std::string handle;
 };
 
-/// Call the replica with the caller's request.
+/// Send the caller's request to the replica.
 struct Send {
     RequestId id;
     Attempt attempt;
     ReplicaRun replica;
     std::string address;
-    Duration timeLeft {}; ///< The replica stops then.
-    std::optional<std::uint64_t> resumeAfter; ///< Go on with the stream after this event.
-    bool isPrefill = false; ///< Only read the prompt, and keep its KV cache for another replica.
-    std::optional<KvCacheSource> source; ///< Fetch the prompt's KV cache there instead of reading the prompt.
-    std::string reservation; ///< Use what was set aside under this id; empty: nothing was.
-    /// Set where callers have accounts: the replica is told this one and not the key; empty: a caller without one, on a public route.
+    Duration timeLeft {}; ///< The replica stops working on the request after this time.
+    std::optional<std::uint64_t> resumeAfter; ///< Resume the stream after the event with this id.
+    bool isPrefill = false; ///< Only run the prefill, and keep the KV cache of the prompt for another replica.
+    std::optional<KvCacheSource> source; ///< Fetch the KV cache of the prompt from there instead of running the prefill.
+    std::string reservation; ///< Id of the reservation to use; empty: there is none at the replica.
+    /// Set if the document has accounts: sent to the replica in place of the caller's key. Empty: a caller without an account, on a
+    /// public route.
     std::optional<std::string> account;
-    std::string cacheAddress; ///< Copy what this replica still keeps of the prompt before reading the rest; empty: read it all.
+    /// Address of a replica: copy the part of the prompt's KV cache that it still holds, and prefill only the rest. Empty: prefill all.
+    std::string cacheAddress;
 };
-/// Ask a decode replica to set a slot and memory aside.
+/// Ask a decode replica to reserve a slot and KV memory.
 struct ReserveAtReplica {
     RequestId id;
     Attempt attempt;
@@ -52,7 +54,7 @@
     std::uint32_t tokens = 0;
     Duration validFor {};
 };
-/// Ask the sidecar of a decode replica for a slot and memory.
+/// Ask the sidecar of a decode replica to reserve a slot and KV memory.
 struct ReserveAtSidecar {
     PeerId sidecar;
     RequestId id;
@@ -60,43 +62,43 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t expectedTokens = 0;
     std::uint32_t maxOutputTokens = 0;
-    std::uint32_t slots = 0; ///< Requests that the replica runs at once.
+    std::uint32_t slots = 0; ///< Requests that the replica can run concurrently.
 };
-/// Tell the sidecar of a prefill replica that a prompt was sent there to be read, or that it was read or given up.
+/// Notify the sidecar of a prefill replica that a prefill was sent to the replica, or (hasEnded) that it finished or was abandoned.
 struct NotifyPrefill {
     PeerId sidecar;
     RequestId id;
     std::uint32_t promptTokens = 0;
     bool hasEnded = false;
 };
-/// The request has ended at the replica, or won't go there.
+/// Notify the sidecar that the request ended at the replica or won't be sent to it.
 struct EndSidecarReservation {
     PeerId sidecar;
     RequestId id;
-    bool isComplete = false; ///< Its answer came to its end.
-    bool hasFailed = false; ///< It was sent there and nothing came of it.
+    bool isComplete = false; ///< The complete answer was received.
+    bool hasFailed = false; ///< The request was sent to the replica and failed without a streamed event.
 };
-/// Give back what was set aside and won't be used.
+/// Release a reservation that won't be used.
 struct ReleaseReservation {
     Reservation reservation;
 };
-/// Let go of a KV cache that nobody will fetch.
+/// Release a KV cache that won't be fetched.
 struct ReleaseKvCache {
     KvCacheSource source;
 };
-/// Break the call off: nobody waits for its answer.
+/// Cancel the call; its answer is no longer needed.
 struct CancelCall {
     RequestId id;
     Attempt attempt;
 };
-/// The replica's answer, as it is.
+/// Pass the replica's complete answer on to the caller, unchanged.
 struct Reply {
     RequestId id;
     int status = 0;
     HeaderList headers;
     std::string body;
 };
-/// An answer of our own.
+/// Answer the caller with an error of the gateway.
 struct Refuse {
     RequestId id;
     Error error;
@@ -113,49 +115,49 @@
 struct EndStream {
     RequestId id;
 };
-/// The stream can't be finished and must not look complete.
+/// Close the stream so that the caller sees that it is incomplete: it can't be finished.
 struct AbortStream {
     RequestId id;
 };
-/// The request has its final answer, or its caller has gone (Cancelled). Exactly one for each Submit.
+/// The request got its final answer, or its caller disconnected (ResultCode::Cancelled). Emitted exactly once for each Submit.
 struct Finished {
-    std::string route; ///< Empty: none was found.
+    std::string route; ///< Empty: no route matched.
     ResultCode code = ResultCode::Ok;
-    std::uint32_t sends = 0;
-    std::optional<Duration> timeToFirstByte; ///< From the request to the first byte of its answer.
+    std::uint32_t sends = 0; ///< How often the request was sent to a replica, prefills not counted.
+    std::optional<Duration> timeToFirstByte; ///< From the arrival of the request to the first byte of its answer.
     Duration reservationWait {};
 };
-/// Kept connections to this run of a replica, and to those before it, are of no use any more.
+/// Close the idle connections to this run of a replica and to its earlier runs.
 struct DropConnections {
     ReplicaRun replica;
 };
-/// Callers are held to these limits from now on.
+/// Apply these limits to callers from now on.
 struct SetLimits {
     CallerLimits limits;
 };
-/// Keep a link to the sidecar beside the engine with this address.
+/// Keep a connection to the sidecar of the engine with this address.
 struct ConnectSidecar {
     std::string engineAddress;
 };
-/// End that: the engine is used no more.
+/// Close the connection to the sidecar of an engine that is no longer used.
 struct DisconnectSidecar {
     std::string engineAddress;
 };
-/// Ask a controller for all that it knows of replicas.
+/// Fetch the replica registry from a controller.
 struct FetchRegistry {
     PeerId controller;
     RegistryRequest request;
 };
-/// Tell the controllers how busy this gateway keeps the engines.
+/// Report to all controllers how much load this gateway puts on the engines.
 struct ReportLoad {
     EngineLoadReport report;
 };
-/// Tell the controllers, or one of them, under which requests replicas have crashed.
+/// Report to one controller or to all of them which requests have crashed replicas.
 struct ReportCrashes {
-    std::optional<PeerId> controller; ///< Nothing: all of them.
+    std::optional<PeerId> controller; ///< Unset: all controllers.
     CrashReport report;
 };
-/// Tell all controllers what was admitted for client accounts.
+/// Report to all controllers how much was admitted for client accounts.
 struct ReportQuotaUsage {
     AccountQuotas::Report report;
 };
--- a/src/request/forward/ForwardEngines.cpp
+++ b/src/request/forward/ForwardEngines.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of ForwardLogic that chooses which engines this gateway uses, and keeps links to the sidecars beside these.
+ * The part of ForwardLogic that selects the subset of engines that this gateway uses, and keeps connections to their sidecars.
  */
 #include "request/forward/ForwardLogic.h"
 
@@ -7,19 +7,19 @@
 
 using namespace forward;
 
-// --- What controllers know of replicas --------------------------------------------------------------------------
+// --- The replica registry of the controllers --------------------------------------------------------------------
 
 void ForwardLogic::on(const RegistryHeartbeatReceived& event, Instant now)
 {
     m_quotas.heard(event.controller, now);
     on(event.heartbeat, now);
-    m_follower.told(event.controller, event.heartbeat.digest, event.heartbeat.known);
+    m_registryFollower.told(event.controller, event.heartbeat.digest, event.heartbeat.known);
     fetchRegistry(now);
 }
 
 void ForwardLogic::on(const RegistryListReceived& event, Instant now)
 {
-    m_follower.listed(event.controller);
+    m_registryFollower.listed(event.controller);
     for (const auto& announced : event.list.known)
         apply(announced, now);
     for (const auto& withdrawn : event.list.ended)
@@ -33,18 +33,18 @@
 void ForwardLogic::fetchRegistry(Instant now)
 {
     auto digest = m_replicas.registry().digest();
-    if (auto controller = m_follower.nextToAsk(digest, now))
+    if (auto controller = m_registryFollower.nextToAsk(digest, now))
         m_effects.push_back(FetchRegistry { *controller, { digest } });
 }
 
 void ForwardLogic::on(const PeerDisconnected& event, Instant)
 {
     m_replicas.rooms().forget(event.peer);
-    m_follower.gone(event.peer);
+    m_registryFollower.gone(event.peer);
     m_quotas.gone(event.peer);
 }
 
-// --- Which engines are used -------------------------------------------------------------------------------------
+// --- The subset of engines --------------------------------------------------------------------------------------
 
 void ForwardLogic::selectEnginesIfDue(Instant now)
 {
@@ -52,7 +52,7 @@
         selectEngines(now);
 }
 
-/// Only on news from controllers: while none is heard, all engines look silent, and those that were chosen stay.
+/// Called only on messages from controllers: without them all engines seem to have stopped announcing themselves, and the subset stays.
 void ForwardLogic::selectEngines(Instant now)
 {
     m_enginesSelectedAt = now;
--- a/src/request/forward/ForwardEvents.h
+++ b/src/request/forward/ForwardEvents.h
@@ -1,5 +1,5 @@
 /** \file
- * Events of ForwardLogic, the decisions of a gateway that calls upstreams itself: what it hears.
+ * Events of ForwardLogic: the inputs of the state machine of a forwarding gateway.
  */
 #pragma once
 
@@ -14,27 +14,27 @@
 
 namespace wrenhinge::forward {
 
-/// What the decisions need to know of a caller's request; its bytes stay with the connection.
+/// What routing and admission need to know of a caller's request. Its headers and body stay with the connection.
 struct RequestMetadata {
     std::string host;
     std::string path; ///< Without the query.
-    RequestFingerprint fingerprint; ///< Without the account, which only the document tells.
-    std::optional<SecretDigest> key; ///< What the caller shows to prove whose request it is.
-    std::optional<Duration> callerTimeout; ///< How long the caller will wait, counted from its sending.
-    Duration readFor {}; ///< How long its reading took: already gone of the patience.
+    RequestFingerprint fingerprint; ///< Doesn't include the account, which is looked up in the routing document.
+    std::optional<SecretDigest> key; ///< Digest of the API key that the caller presented.
+    std::optional<Duration> callerTimeout; ///< How long the caller waits for an answer, counted from when it sent the request.
+    Duration readFor {}; ///< How long it took to receive the request; counts against callerTimeout.
     std::uint32_t promptTokens = 0;
-    std::uint32_t outputTokens = 0; ///< At most.
-    bool hasTokenCounts = false; ///< The caller says how many.
+    std::uint32_t outputTokens = 0; ///< Upper limit of the output.
+    bool hasTokenCounts = false; ///< The caller stated promptTokens and outputTokens.
     std::optional<std::uint32_t> expectedTokens; ///< The caller's estimate of the output.
-    std::optional<std::uint64_t> resumeAfter; ///< The caller itself goes on with a stream after this event.
+    std::optional<std::uint64_t> resumeAfter; ///< The caller resumes a stream after the event with this id.
 };
 
-/// What an answer's head says, whatever words it used for it.
+/// What the status line and headers of an answer say, independent of the dialect that the replica speaks.
 struct AnswerMetadata {
     int status = 0;
     bool wasNotRun = false; ///< The replica states that it did not run the request.
-    bool isMisdirected = false; ///< The address belongs to another replica than the one that was meant.
-    bool isGenuine = true; ///< A success that bears what only a replica's success bears.
+    bool isMisdirected = false; ///< The call reached another replica than the one it was addressed to.
+    bool isGenuine = true; ///< For a success: it has the headers that only a replica sets, so it does not come from something in between.
     bool isStream = false;
 };
 
@@ -51,7 +51,7 @@
     AnswerMetadata metadata;
     HeaderList headers;
 };
-/// A piece of an answer's body; of a stream, as it came.
+/// Part of an answer's body, as received; its boundaries are not those of stream events.
 struct AnswerBody {
     RequestId id;
     Attempt attempt;
@@ -67,83 +67,84 @@
     bool mayHaveRun = true;
     std::string reason;
 };
-/// A decode replica has set a slot and memory aside for the request, under this id.
+/// A slot and KV memory are reserved for the request: by a decode replica, or by its sidecar if the id is empty.
 struct ReservationGranted {
     RequestId id;
     Attempt attempt;
     std::string reservation;
 };
-/// The replica has no room now, or could not be asked.
+/// No reservation was made: the replica has no capacity now, or it could not be reached.
 struct ReservationRefused {
     RequestId id;
     Attempt attempt;
     bool wasReached = true;
 };
-/// The answer of a sidecar to Reserve.
+/// A sidecar's reply to ReserveAtSidecar.
 struct SidecarReservationReply {
     RequestId id;
     Attempt attempt;
     bool isGranted = false;
-    std::uint64_t room = 0; ///< In tokens, with this reservation counted.
+    std::uint64_t room = 0; ///< Free KV memory of the engine in tokens, after this reservation.
 };
-/// A sidecar tells how much room its engine's memory has.
+/// A sidecar reported how much KV memory of its engine is free.
 struct EngineCapacityReported {
-    std::string address; ///< The engine's.
+    std::string address; ///< Of the engine.
     EngineRooms::Room room;
 };
-/// A link has ended.
+/// The connection to a peer was closed.
 struct PeerDisconnected {
     PeerId peer;
 };
-/// A controller's heartbeat.
+/// A controller sent a heartbeat.
 struct RegistryHeartbeatReceived {
     PeerId controller;
     RegistryHeartbeat heartbeat;
 };
-/// A controller's answer to FetchRegistry.
+/// A controller's reply to FetchRegistry.
 struct RegistryListReceived {
     PeerId controller;
     RegistryList list;
 };
-/// A prefill replica holds the prompt's KV cache for a short time under this handle.
+/// A prefill replica has read the prompt and holds its KV cache under this handle for a short time.
 struct PrefillFinished {
     RequestId id;
     Attempt attempt;
     std::string handle;
 };
-/// A prefill replica answered without a handle.
+/// A prefill replica answered without a handle for the KV cache.
 struct PrefillFailed {
     RequestId id;
     Attempt attempt;
-    bool wasNotAccepted = false; ///< It states that it did nothing.
-    bool isMisdirected = false; ///< As in AnswerMetadata.
+    bool wasNotAccepted = false; ///< The replica states that it did not run the prefill.
+    bool isMisdirected = false; ///< See AnswerMetadata.
 };
-/// A document that a controller sent, already checked.
+/// A controller sent a routing document, which is already validated.
 struct DocumentReceived {
     RoutingDocument document;
-    bool isCurrent = false;
+    bool isCurrent = false; ///< As new as a version that was offered as the newest since this process started.
 };
-/// A controller says that the document with this version is the newest.
+/// A controller confirmed that the routing document with this version is the newest.
 struct DocumentConfirmed {
     std::uint64_t version = 0;
 };
-/// A link to a controller has come up.
+/// A connection to a controller was established.
 struct ControllerConnected {
     PeerId controller;
 };
-/// A controller tells which requests have crashed replicas.
+/// A controller reported which requests have crashed replicas.
 struct CrashesReported {
     CrashReport report;
 };
-/// A controller tells what other gateways admit for client accounts.
+/// A controller reported how much the other gateways admit for client accounts.
 struct QuotaTotalsReceived {
     PeerId controller;
     QuotaTotals totals;
 };
-/// This process was told to stop; answers that are not whole by then are cut.
+/// The process is shutting down. Answers that are not complete at the deadline are cut off.
 struct Stop {
     Instant deadline;
 };
+/// The time of nextWake() has come.
 struct Tick { };
 using wrenhinge::Announced;
 using wrenhinge::RegistryHeartbeat;
--- a/src/request/forward/ForwardFlow.h
+++ b/src/request/forward/ForwardFlow.h
@@ -1,5 +1,5 @@
 /** \file
- * One request in progress at a gateway that calls upstreams itself: what ForwardLogic remembers of it.
+ * The state that ForwardLogic keeps for one request in progress.
  */
 #pragma once
 
@@ -13,9 +13,9 @@
 namespace wrenhinge {
 
 struct ForwardFlow {
-    /// What the present call is for.
+    /// What the current call is for.
     enum class Stage : std::uint8_t {
-        Waiting, ///< No call: in the queue for a place, or between calls.
+        Waiting, ///< No call in progress: queued for a reservation, or between calls.
         Reserving,
         Prefilling,
         Running,
@@ -23,57 +23,57 @@
 
     RequestId id;
     forward::RequestMetadata request;
-    std::shared_ptr<const RouteTable> table; ///< Keeps the route alive, whatever documents come.
+    std::shared_ptr<const RouteTable> table; ///< Keeps the route alive when a newer document replaces it.
     const Route* route = nullptr;
-    const AccountRule* account = nullptr; ///< Whose request it is; nullptr: the document has no accounts, or the route needs none.
-    double chargedQuota = 0; ///< Taken from the account's quota for it.
+    const AccountRule* account = nullptr; ///< The caller's account; nullptr: the document has no accounts, or the route needs none.
+    double chargedQuota = 0; ///< Charged to the account's quota for this request.
     std::string service;
     Instant arrivedAt;
     Instant deadline;
-    Instant nextCheckAt; ///< When to look whether the call makes progress.
+    Instant nextCheckAt; ///< When to check whether the call makes progress.
 
     // The call.
-    Attempt attempt; ///< The newest; answers of others are late.
+    Attempt attempt; ///< Of the newest call; answers to earlier ones are dropped.
     Stage stage = Stage::Waiting;
     bool isCalling = false;
     ReplicaRun replica;
     std::string replicaAddress;
     Instant sentAt;
-    std::optional<Instant> admittedAt; ///< When it began to run at an engine.
+    std::optional<Instant> admittedAt; ///< When it was first sent to an engine to run.
     std::uint32_t reservationAttempts = 0;
     Duration reservationWait {};
     std::optional<Duration> timeToFirstByte;
     std::uint32_t sends = 0;
     std::uint32_t refusals = 0; ///< Sends that a replica answered as not run.
-    std::uint32_t runs = 0; ///< Sends that ran or may have.
+    std::uint32_t runs = 0; ///< Sends that ran or may have run.
     std::set<ReplicaRun> tried;
-    std::set<ReplicaRun> triedPrefillReplicas; ///< Replicas that were asked to read the prompt; one without a stage may still run it.
+    std::set<ReplicaRun> triedPrefillReplicas; ///< Replicas that a prefill was sent to; one without a stage may still run the request.
 
-    // What waits at engines for this request.
+    // Resources held at engines for this request.
     ReservationQueue::Waiter waiter;
     std::optional<forward::Reservation> reservation;
-    std::optional<PeerId> reservationSidecar; ///< The sidecar that was asked for the place, and then counts the request at its engine.
+    std::optional<PeerId> reservationSidecar; ///< The sidecar that was asked for the reservation and counts the request at its engine.
     std::optional<forward::KvCacheSource> kvSource;
     Instant kvSourceExpiresAt;
-    std::optional<forward::KvCacheSource> sentKvSource; ///< Named in the present call, which fetches it if the replica takes the call.
-    std::optional<PeerId> prefillSidecar; ///< The sidecar of the replica that is asked to read the prompt now.
+    std::optional<forward::KvCacheSource> sentKvSource; ///< Sent with the current call; the replica fetches it if it runs the call.
+    std::optional<PeerId> prefillSidecar; ///< The sidecar of the replica that runs the prefill now.
     ReplicaRun prefillReplica; ///< The prefill replica that has read the prompt.
     std::string prefillReplicaAddress;
-    bool hasLostKvCache = false; ///< The replica that has read the prompt started again before the present call was answered.
+    bool hasLostKvCache = false; ///< The replica that had read the prompt restarted before the current call was answered.
 
-    // The answer in progress.
+    // The answer to the current call.
     bool hasHead = false;
     forward::AnswerMetadata metadata;
     HeaderList headers;
     std::string body;
 
-    // The stream towards the caller.
+    // The stream to the caller.
     bool hasStreamStarted = false;
     EventSplitter splitter;
     std::optional<std::uint64_t> lastEventId;
     Instant lastEventAt;
-    Instant lastForwardedAt; ///< When the caller got its last event, from whichever replica.
-    Duration longestGap {}; ///< Between two events of the stream, as the caller gets them.
+    Instant lastForwardedAt; ///< When the last event was passed on to the caller, from any replica.
+    Duration longestGap {}; ///< Longest time between two events that were passed on to the caller.
 };
 
 } // namespace wrenhinge
--- a/src/request/forward/ForwardLogic.cpp
+++ b/src/request/forward/ForwardLogic.cpp
@@ -8,34 +8,35 @@
 
 namespace {
 
-    /// An idempotent call without an answer is sent to another replica after this share of its target, so that the second
-    /// answer can still be in time. It must also have taken four times as long as calls usually do.
+    /// An idempotent call without an answer is sent to another replica after this share of its target, so that the second answer can
+    /// still be in time. It must also have taken four times the mean latency.
     constexpr double retryAfterTargetShare = 0.55;
     constexpr double retryAfterMeanMultiple = 4;
-    /// A resumable stream without an event for this long goes on elsewhere. Callers give up after two seconds at the least.
+    /// A resumable stream without an event for this long is resumed at another replica. Callers time out after two seconds at the earliest.
     constexpr Duration streamStallTimeout = 1400ms;
-    /// A replica says within a round trip whether it has a place. One that has gone dark on a kept connection says nothing: its
-    /// callers waited until they gave up, 3.6 s later, though other replicas had room. A few round trips, also over a link that
-    /// loses a packet now and then.
+    /// A replica replies to a reservation within a round trip. One that has become unreachable while an idle connection to it is open
+    /// doesn't reply: without this timeout callers gave up after 3.6 s, although other replicas had capacity. Long enough for a few
+    /// round trips, also over a link with occasional packet loss.
     constexpr Duration reservationReplyTimeout = 120ms;
-    /// A prompt of today's longest takes 0.2 s to read, and its place keeps the queue at prefill replicas short: in a surge 99 of
-    /// 100 end within 0.43 s. One that takes longer than this is at a replica that has gone dark; its decode replica then reads
-    /// the prompt itself, and the first event still comes within the target, not after the 2.7 s that a longer wait cost it.
+    /// The prefill of the longest prompts in use takes 0.2 s, and reservations keep the queues at prefill replicas short: in a surge 99
+    /// of 100 prefills end within 0.43 s. One that takes longer than this is at an unreachable replica. The decode replica then runs the
+    /// prefill itself, and the first event still meets the target; with a longer timeout it came after 2.7 s.
     constexpr Duration prefillTimeout = 600ms;
-    /// A request that waits for a document may use up this part of its caller's patience; the rest is for a way back.
+    /// A request that waits for a document may use up its caller's timeout divided by this; the rest is left for a retry.
     constexpr int documentWaitDivisor = 4;
-    /// The patience of a caller that states none, until its route is known.
+    /// The timeout of a caller that states none, until its route is known.
     constexpr Duration defaultCallerTimeout = 1s;
-    /// Callers' estimates of an answer's length are right at the median only. Over eight days of both sites, a place of 1.0, 1.3, 1.6
-    /// and 2.0 times the estimate had 12, 8, 5 and 2 streams set back a day and a worth of 0.669, 0.678, 0.673 and 0.672 (three plays
-    /// each); more memory for each means fewer places.
+    /// Memory to reserve for an answer, as a multiple of the caller's estimate of its length, which is right only at the median. In
+    /// eight test days of both sites, 1.0, 1.3, 1.6 and 2.0 times the estimate led to 12, 8, 5 and 2 preempted streams a day and
+    /// scores of 0.669, 0.678, 0.673 and 0.672 (three runs each): more memory per request means fewer requests at once.
     constexpr double outputReservationFactor = 1.3;
-    /// An engine's memory is fullest within a second or so, when a new answer has grown by this part: with less room than that a request
-    /// is refused there. Asked for the prompt alone, gateways asked up to 20 times for one request.
+    /// The memory use of an engine peaks within about a second, when a new answer has grown to its expected length divided by this. With
+    /// less free memory than that, a request is refused there. When only the prompt was compared with the free memory, gateways asked
+    /// for up to 20 reservations for one request.
     constexpr std::uint32_t outputDivisorAtPeak = 4;
-    /// Without an estimate of its caller an answer is taken to be this part of what it may be.
+    /// Without an estimate of the caller, the expected length of an answer is its upper limit divided by this.
     constexpr std::uint32_t defaultOutputDivisor = 2;
-    /// Another gateway can take the request now, so its caller need not wait; not quite zero, which some take for nothing said.
+    /// Retry-After when another gateway can take the request at once. Not zero, which some clients treat as absent.
     constexpr Duration drainingRetryAfter = 10ms;
 
 } // namespace
@@ -62,7 +63,8 @@
 
 Instant ForwardLogic::nextWake() const
 {
-    auto next = std::min({ m_queue.nextExpiry(), m_retryAdmissionAt, m_loadReportAt, m_follower.nextWake(), m_quotas.nextReport() });
+    auto next
+        = std::min({ m_queue.nextExpiry(), m_retryAdmissionAt, m_loadReportAt, m_registryFollower.nextWake(), m_quotas.nextReport() });
     if (m_table && !m_awaitingDocument.empty())
         next = std::min(next, m_firstDocumentAt + unconfirmedDocumentDelay);
     return m_wakes.empty() ? next : std::min(next, m_wakes.begin()->first);
@@ -73,11 +75,11 @@
     return m_table && (m_isConfirmed || now - m_firstDocumentAt >= unconfirmedDocumentDelay);
 }
 
-// --- What controllers say ---------------------------------------------------------------------------------------
+// --- Messages from controllers ----------------------------------------------------------------------------------
 
 void ForwardLogic::on(const DocumentReceived& event, Instant now)
 {
-    // A controller that was cut off may send an older document after a newer one took effect here.
+    // A controller that was partitioned may send an older document after a newer one has taken effect here.
     if (event.document.version > documentVersion()) {
         if (!m_table)
             m_firstDocumentAt = now;
@@ -106,7 +108,7 @@
         selectEngines(now);
 }
 
-/// \returns whether it was news.
+/// \returns whether the replica is new, restarted or changed.
 bool ForwardLogic::apply(const Announced& event, Instant now)
 {
     const auto& announcement = event.announcement;
@@ -133,7 +135,7 @@
         selectEngines(now);
 }
 
-/// \returns whether it was news.
+/// \returns whether the end of this run was not known yet.
 bool ForwardLogic::apply(const Withdrawn& event, Instant now)
 {
     if (!m_replicas.registry().withdraw(event.run(), now))
@@ -161,15 +163,15 @@
         m_effects.push_back(Note { EventCode::StageChanging, {}, event.id + " for " + std::to_string(event.lasts / 1ms) + " ms at most" });
 }
 
-// --- Replicas that start again ----------------------------------------------------------------------------------
+// --- Replicas that restart --------------------------------------------------------------------------------------
 
-/// What a former run held for requests is gone with it: places, prompts that were read, and calls that would give these. A call
-/// that runs a request is left to end by itself, with a reset at the latest: it may have run, and an answer that is already on its
-/// way is still a good one. It never counts as not run for the restart alone.
+/// Drops what the former runs of a replica held for requests: reservations, KV caches, and the calls that ask for these. A call that
+/// runs a request is left to end by itself, at the latest with a connection reset: it may have run, and an answer that is already in
+/// transit is valid. The restart alone never makes it count as not run.
 void ForwardLogic::abandonFormerRuns(const ReplicaRun& newest, Instant now)
 {
-    // Giving up may end a request, so the requests are not gone through while it is done. In order of their ids: what is
-    // left of the retry budget then goes to the same ones in each replay of the same events.
+    // Abandoning a call may end its request, so m_flows is not iterated meanwhile. The order by id makes replays of the same events
+    // spend the remaining retry budget on the same requests.
     std::set<RequestId> ids;
     for (const auto& [id, flow] : m_flows)
         ids.insert(id);
@@ -183,7 +185,7 @@
 {
     if (flow.prefillReplica.isBefore(newest))
         flow.prefillReplica = {};
-    // Nothing is given back: the new run counts its places and prompts anew, and may have given the same name to another request's.
+    // Nothing is released at the replica: the new run issues its own ids, and may have given the same one to another request.
     if (flow.sentKvSource && flow.sentKvSource->replica.isBefore(newest)) {
         flow.sentKvSource.reset();
         flow.hasLostKvCache = flow.isCalling;
@@ -197,8 +199,8 @@
         abandonCallToFormerRun(flow, now);
 }
 
-/// Ends a call to a former run that asks for a place or has the prompt read. An answer to it, though it may come from the new run
-/// at the same address, is not believed any more.
+/// Cancels a reservation or prefill call to a former run. An answer to it is ignored, as it may come from the new run at the same
+/// address.
 void ForwardLogic::abandonCallToFormerRun(Flow& flow, Instant now)
 {
     if (flow.stage == Flow::Stage::Running)
@@ -210,8 +212,8 @@
         endSidecarReservation(flow, false);
         return requeue(flow);
     }
-    // A run that has ended is none of the replicas to which the route's attempts are limited, but the call to it has cost the
-    // service work: another one must fit into the retry budget.
+    // A run that has ended doesn't count towards the route's attempts, but the call to it has cost the service work, so another prefill
+    // must fit into the retry budget.
     retryPrefillOrRun(flow, m_budget.take(flow.service, now), now);
 }
 
@@ -230,7 +232,7 @@
         waitForDocument(flow, now);
 }
 
-/// A gateway that has just started expects its document at once, so what it is asked meanwhile waits a little.
+/// A gateway that has just started expects its document shortly, so requests that arrive before it wait for a short time.
 void ForwardLogic::waitForDocument(Flow& flow, Instant now)
 {
     auto until = flow.arrivedAt + std::min(maxDocumentWait, (flow.deadline - flow.arrivedAt) / documentWaitDivisor);
@@ -288,7 +290,7 @@
         runOrFail(flow, now);
 }
 
-/// Refuses a request to a plain service whose replicas can't answer all in time. \returns whether it did.
+/// Load shedding for plain services (LoadShedder). \returns whether the request was refused.
 bool ForwardLogic::shedLoad(Flow& flow, Instant now)
 {
     auto share = flow.route->hasPrompt ? 0 : m_shedder.refusedShare(flow.service);
@@ -311,7 +313,7 @@
         refuse(flow, ResultCode::NoUpstream, "no replica of the service is known", now);
 }
 
-/// One service of the route, by weight.
+/// Picks one of the route's services at random, by weight.
 std::string ForwardLogic::pickService(const Route& route)
 {
     std::uint64_t sum = 0;
@@ -326,10 +328,10 @@
     internalError("a weighted choice beyond the sum of its weights");
 }
 
-/// What the caller had of its patience before it came here, if it was refused for want of room and has come back: it then brings less
-/// than others on its route by the pause that it was told, at least. Callers bring more or less at their first attempt too: where they
-/// differ by 15%, 11.9 to 14 s, and any difference was taken for a return, two in three of them were held to be late, tried for 150 ms
-/// and refused while others waited for 0.6 s.
+/// Estimates how much of its timeout the caller had used up before this attempt. A caller that retries after a refusal for lack of
+/// capacity has less time left than others on its route, by the Retry-After at least. Timeouts differ at the first attempt too: with a
+/// spread of 15%, 11.9 to 14 s, and every difference taken for a retry, two in three requests were treated as late and refused after
+/// 150 ms while others waited for 0.6 s.
 Duration ForwardLogic::timeSpentElsewhere(const Flow& flow) const
 {
     if (!flow.request.callerTimeout)
@@ -344,9 +346,8 @@
     return std::min(request.expectedTokens.value_or(request.outputTokens / defaultOutputDivisor), request.outputTokens);
 }
 
-/// What the request is taken to need of an engine's memory: its prompt, and more output than its caller expects. What is not set
-/// aside for an answer may be missing when it grows, and then the engine sets a running stream back and reads its prompt anew,
-/// which holds up all streams there.
+/// The KV memory to reserve for the request: its prompt, and more output than its caller expects. If the reservation is too small and
+/// the answer grows beyond it, the engine may have to preempt a running stream and prefill it again, which delays all streams there.
 std::uint32_t ForwardLogic::reservedTokensOf(const Flow& flow)
 {
     const auto& request = flow.request;
@@ -354,10 +355,10 @@
         + std::min(static_cast<std::uint32_t>(outputReservationFactor * expectedTokensOf(flow)), request.outputTokens);
 }
 
-/// What the request holds of an engine's memory on average over its run: the answer grows from nothing to its length.
+/// The KV memory that the request uses on average over its run: the answer grows linearly from zero to its expected length.
 std::uint32_t ForwardLogic::meanTokensOf(const Flow& flow) { return flow.request.promptTokens + expectedTokensOf(flow) / 2; }
 
-/// The rule of the flow's service if that has engines, else nullptr.
+/// \returns the rule of the flow's service if that has engines, else nullptr.
 const ServiceRule* ForwardLogic::engineRule(const Flow& flow) const
 {
     const auto* rule = flow.table->service(flow.service);
@@ -379,8 +380,8 @@
     return criteria;
 }
 
-/// Calls in progress that this gateway may have at one replica: its share of the connections that the replica accepts from all.
-/// One beyond them is reset, and a request that may not be repeated is lost with it.
+/// The number of calls that this gateway may have in progress at one replica: its share of the connections that the replica accepts
+/// from all gateways. The replica resets further connections, and a request that may not be retried fails with them.
 std::uint32_t ForwardLogic::callLimit(const ServiceRule* rule) const
 {
     if (!rule || !rule->maxConnections)
@@ -406,8 +407,8 @@
         send.resumeAfter = flow.lastEventId;
     else
         send.source = flow.sentKvSource = std::exchange(flow.kvSource, std::nullopt);
-    // A replica that reads a prompt anew holds up the streams that run there: 5,000 tokens take 0.2 s of theirs. The replica that
-    // read it first still keeps most of it: 20,000 to 45,000 tokens a day of 40 s with crashes were copied instead of read.
+    // A decode replica that prefills the prompt again delays the streams that run there: 5,000 tokens delay them by 0.2 s. The prefill
+    // replica still caches most of the prompt: 20,000 to 45,000 tokens were copied instead in a test day of 40 s with crashes.
     if (!send.source && flow.prefillReplica != choice->run && m_replicas.isReady(flow.prefillReplica))
         send.cacheAddress = flow.prefillReplicaAddress;
     startCall(flow, *choice, now);
@@ -436,7 +437,7 @@
     logCall(flow);
 }
 
-/// One line for each call but those that ask for a place again: in a surge there are dozens, and they decide nothing new.
+/// Logs each call except repeated reservation calls of the same request: in a surge there are dozens of them, without new information.
 void ForwardLogic::logCall(Flow& flow)
 {
     bool isAskingAgain = flow.stage == Flow::Stage::Reserving && flow.reservationAttempts++;
@@ -453,17 +454,18 @@
     m_effects.push_back(Note { code, flow.id, std::move(text) });
 }
 
-// --- The end of this process ------------------------------------------------------------------------------------
+// --- Shutdown of this process -----------------------------------------------------------------------------------
 
-/// Whether the stream might outlive this process. It is refused if one in a hundred like it would be cut: it loses some 100 ms on its way
-/// to another gateway, a cut one all of its seconds. Where too little is known of streams, any might be cut. A caller that was refused
-/// by another stopping gateway can't be told from one with less patience, and may have no further attempt; but it knows at once.
+/// Whether the stream might outlive this process. It is refused even if only one in a hundred like it would be cut off: a refusal costs
+/// it about 100 ms on the way to another gateway, a cut all of its seconds. With too few samples for a forecast, any stream might be cut
+/// off. A caller that another stopping gateway has refused can't be told from one with a shorter timeout; it may have no attempt left,
+/// but learns that at once.
 bool ForwardLogic::mayOutliveProcess(const Flow& flow) const
 {
     if (!m_shutdownAt || !flow.route->isStream || flow.deadline <= *m_shutdownAt)
         return false;
-    auto lasts = m_forecast.longest(flow.service, expectedTokensOf(flow));
-    return !lasts || flow.arrivedAt + *lasts > *m_shutdownAt;
+    auto forecast = m_forecast.longest(flow.service, expectedTokensOf(flow));
+    return !forecast || flow.arrivedAt + *forecast > *m_shutdownAt;
 }
 
 void ForwardLogic::refuseAsDraining(Flow& flow, Instant now)
@@ -471,7 +473,7 @@
     refuseUntil(flow, ResultCode::Draining, "this gateway stops before the stream would have ended", drainingRetryAfter, now);
 }
 
-/// Streams that still wait for a place have lost little, so they go as well.
+/// Streams that still wait for a reservation have lost little time, so they are refused too.
 void ForwardLogic::on(const Stop& event, Instant now)
 {
     m_shutdownAt = event.deadline;
@@ -487,17 +489,17 @@
 {
     auto nextCheckAt = flow.deadline;
     if (flow.isCalling && flow.stage == Flow::Stage::Prefilling) {
-        auto byUse = fromSeconds(m_replicas.meanSeconds(flow.service, UpstreamKind::Prefill) * retryAfterMeanMultiple);
-        nextCheckAt = std::min(nextCheckAt, flow.sentAt + std::max(prefillTimeout, byUse));
+        auto byMeanLatency = fromSeconds(m_replicas.meanSeconds(flow.service, UpstreamKind::Prefill) * retryAfterMeanMultiple);
+        nextCheckAt = std::min(nextCheckAt, flow.sentAt + std::max(prefillTimeout, byMeanLatency));
     }
     if (flow.isCalling && flow.stage == Flow::Stage::Reserving)
         nextCheckAt = std::min(nextCheckAt, flow.sentAt + reservationReplyTimeout);
     bool isIdempotentCall = flow.route->repeatability == Repeatability::Idempotent && !flow.hasHead && flow.isCalling;
     bool isResumable = flow.route->repeatability == Repeatability::Resumable && flow.hasStreamStarted && flow.isCalling;
     if (isIdempotentCall) {
-        auto byTarget = fromSeconds(toSeconds(flow.route->target) * retryAfterTargetShare);
-        auto byUse = fromSeconds(m_replicas.meanSeconds(flow.service, UpstreamKind::Plain) * retryAfterMeanMultiple);
-        nextCheckAt = std::min(nextCheckAt, flow.sentAt + std::max(byTarget, byUse));
+        auto byTargetShare = fromSeconds(toSeconds(flow.route->target) * retryAfterTargetShare);
+        auto byMeanLatency = fromSeconds(m_replicas.meanSeconds(flow.service, UpstreamKind::Plain) * retryAfterMeanMultiple);
+        nextCheckAt = std::min(nextCheckAt, flow.sentAt + std::max(byTargetShare, byMeanLatency));
     } else if (isResumable) {
         nextCheckAt = std::min(nextCheckAt, flow.lastEventAt + streamStallTimeout);
     }
@@ -535,7 +537,7 @@
     }
 }
 
-/// The call makes no progress: goes on elsewhere if the route and the budget allow it, else waits for its end.
+/// The current call makes no progress: continues at another replica if the route and the budget allow it, else waits for its end.
 void ForwardLogic::checkProgress(Flow& flow, Instant now)
 {
     if (flow.isCalling && flow.stage == Flow::Stage::Reserving) {
@@ -548,7 +550,7 @@
         endCall(flow, CallOutcome::Failed, now);
         return runOrFail(flow, now);
     }
-    // A second call to replicas that are full makes both late.
+    // While replicas are full, a second call would only make both late.
     bool isOverloaded = flow.stage == Flow::Stage::Running && m_shedder.refusedShare(flow.service) > 0;
     bool mayGoOn = !isOverloaded && flow.isCalling && flow.stage == Flow::Stage::Running && flow.runs + 1 < flow.route->maxAttempts
         && flow.sends < maxSends && !crashesReplicas(flow, now) && m_replicas.choose(criteriaOf(flow), flow.tried, now);
--- a/src/request/forward/ForwardLogic.h
+++ b/src/request/forward/ForwardLogic.h
@@ -1,16 +1,16 @@
 /** \file
- * The decisions of a gateway that calls upstreams itself, without sidecars: routes, places, resends, refuses and streams.
+ * The decision logic of a gateway that calls upstreams itself: routing, reservations, retries, refusals and streams.
  *
- * A state machine without I/O. What it holds to:
- * - a call that may have run is sent again only if the route allows that, within the route's attempts and the retry budget;
- *   "not run" is said only if every send of the request is known not to have run;
- * - a whole answer is gathered before it is passed on, so that one which breaks off can still be replaced; a stream is passed
- *   on event by event, and goes on at another replica after the last whole event where the route allows it;
- * - a request that crashes the replicas which run it is refused, at whatever gateway it comes (CrashTracker);
- * - where the document has accounts, a request runs only for the account whose key its caller shows;
- * - an account that has used up its quota is refused before anything else is touched;
- * - told to stop, it refuses at once a stream that might be cut when the process ends (StreamForecast);
- * - at the route's timeout, or when the caller's patience ends, the caller has a final answer and the replica is released.
+ * A state machine without I/O. It guarantees:
+ * - A call that may have run is sent again only if the route allows it, within the route's attempts and the retry budget. The caller
+ *   is told "not run" only if every send of the request is known not to have run.
+ * - An answer that is no stream is buffered completely before it is passed on, so that an incomplete one can still be replaced. A
+ *   stream is passed on event by event, and resumes at another replica after the last complete event if the route allows it.
+ * - A request that crashes the replicas which run it is refused, whichever gateway receives it (CrashTracker).
+ * - If the document has accounts, a request runs only for the account whose key its caller presents.
+ * - A request of an account that has used up its quota is refused before any other resource is used.
+ * - While the process shuts down, a stream that might outlive it is refused at once (StreamForecast).
+ * - At the route's timeout or the caller's timeout, whichever is earlier, the caller has a final answer and the replica is released.
  */
 #pragma once
 
@@ -42,29 +42,31 @@
         std::string zone;
         std::uint64_t seed = 1;
         RetryBudgetSettings budget;
-        std::string name {}; ///< Of this gateway; stays over restarts.
+        std::string name {}; ///< Of this gateway; the same after a restart.
         QuotaSettings quotas {};
     };
 
-    /// A document that no controller could confirm is used all the same after this long: a cut-off site serves on.
+    /// A document that no controller has confirmed takes effect after this long, so that a site that is cut off continues to serve.
     static constexpr Duration unconfirmedDocumentDelay = 1500ms;
-    /// A request that comes before any document waits for one this long, and a quarter of its caller's patience at most. After a
-    /// power loss of a whole site the gateways that start first are asked 0.2 to 0.6 s before the controllers have a leader; a
-    /// refusal with a pause made all of these late, and a longer wait would let those be late that could have come back.
+    /// A request that arrives before any document waits for one this long, but at most a quarter of its caller's timeout. After a power
+    /// loss of a whole site, the first gateways receive requests 0.2 to 0.6 s before the controllers have a leader. Refusing these
+    /// requests with a Retry-After made all of them late; a longer wait would make those late that could have been retried in time.
     static constexpr Duration maxDocumentWait = 500ms;
-    /// How busy the engines are is told to the controllers this often: several times within a change of stage, which takes seconds.
+    /// Interval of load reports to the controllers: several within the time of a stage change, which takes seconds.
     static constexpr Duration loadReportInterval = 1s;
-    /// The engines that are used are chosen anew this often, so that one that fell silent is followed by another.
+    /// Interval at which the subset of engines is selected again, so that an engine that stopped announcing itself is replaced.
     static constexpr Duration engineSelectionInterval = 1s;
-    /// An engine that is used no more keeps its link for this long: as long as a stream of 14 s that was admitted there may go on. Without
-    /// the link its sidecar would take what is reserved there for free, and would not hear how long the answer became.
+    /// The connection to the sidecar of an engine that left the subset is kept for this long: longer than a stream of 14 s that was
+    /// admitted there can take. Without the connection, the sidecar would treat the stream's reservation as free and would not learn
+    /// the length of its answer.
     static constexpr Duration linkRetention = 15s;
-    /// The part of its share of a replica's connections that a gateway uses, since gateways come and go while the others still count
-    /// with the former number, and a call that gives something back needs a connection too.
+    /// The part of its share of a replica's connections that a gateway uses. The rest allows for gateways that still divide by an
+    /// earlier number of gateways, and for calls that release a reservation or KV cache, which need a connection too.
     static constexpr double usableConnectionShare = 0.8;
-    /// When callers that are refused for want of room may come back at the soonest.
+    /// Shortest Retry-After for requests that are refused because no decode replica has capacity, before it is capped to a third of the
+    /// caller's remaining time.
     static constexpr Duration minOverloadRetryAfter = 2500ms;
-    /// Sends of one request at most, counting those that a replica did not run.
+    /// Maximum number of sends of one request, including those that a replica did not run.
     static constexpr std::uint32_t maxSends = 4;
 
     explicit ForwardLogic(Settings);
@@ -72,14 +74,14 @@
     Effects step(const forward::Event&, Instant now);
     [[nodiscard]] Instant nextWake() const;
 
-    /// Whether callers' requests can be judged: a document is in force.
+    /// Whether a routing document is in effect, so that requests can be routed.
     [[nodiscard]] bool isServing(Instant now) const;
     [[nodiscard]] std::size_t requests() const { return m_flows.size(); }
     [[nodiscard]] const ReplicaTable& replicas() const { return m_replicas; }
-    /// What may still be sent beyond first sends, by service, in this window.
+    /// Retries that the budget still allows in the current window, by service.
     [[nodiscard]] std::map<std::string, double> retryBudget(Instant now) { return m_budget.leftByService(now); }
     [[nodiscard]] AccountQuotas& quotas() { return m_quotas; }
-    /// Requests that showed a key of no account.
+    /// Number of requests that were refused because their key is missing or belongs to no account.
     [[nodiscard]] std::uint64_t refusedKeys() const { return m_refusedKeys; }
     [[nodiscard]] std::uint64_t documentVersion() const { return m_table ? m_table->version() : 0; }
 
@@ -113,7 +115,7 @@
     void on(const forward::Stop&, Instant);
     void on(const forward::Tick&, Instant);
 
-    // Which engines are used, and the links to their sidecars (ForwardEngines.cpp).
+    // The subset of engines that this gateway uses, and the connections to their sidecars (ForwardEngines.cpp).
     bool apply(const Announced&, Instant);
     bool apply(const Withdrawn&, Instant);
     void fetchRegistry(Instant);
@@ -123,7 +125,7 @@
     void waitForDocument(Flow&, Instant);
     void beginAwaitingDocument(Instant);
     void begin(Flow&, Instant);
-    // Whose requests these are, and what their accounts may ask for (ForwardAccounts.cpp).
+    // Authentication and quotas of client accounts (ForwardAccounts.cpp).
     bool authenticate(Flow&, Instant);
     void refuseRevokedKeys(Instant);
     void applyQuotaRules(Instant);
@@ -138,7 +140,7 @@
     void startCall(Flow&, const ReplicaTable::Choice&, Instant);
     void logCall(Flow&);
     void runOrFail(Flow&, Instant);
-    // Places and prefill (ForwardPlaces.cpp).
+    // Reservations and prefill (ForwardReservations.cpp).
     bool enqueueForReservation(Flow&, Instant);
     void admitWaiting(Instant);
     void scheduleLoadReport(Instant);
@@ -149,7 +151,7 @@
     void refuseExpired(Instant);
     [[nodiscard]] Duration overloadRetryAfter(const Flow&, Instant);
     bool prefill(Flow&, Instant);
-    void retryPrefillOrRun(Flow&, bool mayBeAsked, Instant);
+    void retryPrefillOrRun(Flow&, bool mayRetry, Instant);
     bool repeatPrefill(Flow&, Instant);
     void restoreKvSource(Flow&);
     // Requests that crash replicas (ForwardCrashes.cpp).
@@ -160,7 +162,7 @@
     void refuseAsCrashing(Flow&, Instant);
     void recordIfRefused(RequestFingerprint, Instant);
     void refuseNewCrashFingerprints(Instant);
-    // Replicas that start again.
+    // Replicas that restart.
     void abandonFormerRuns(const ReplicaRun& newest, Instant);
     void abandonFormerRuns(Flow&, const ReplicaRun& newest, Instant);
     void abandonCallToFormerRun(Flow&, Instant);
@@ -197,10 +199,10 @@
     Settings m_settings;
     ReplicaTable m_replicas;
     EngineLoad m_engineLoad;
-    Instant m_loadReportAt = Instant::max(); ///< When to tell the controllers of it.
-    RegistryFollower m_follower;
-    Instant m_enginesSelectedAt; ///< The last time.
-    std::map<std::string, Instant> m_sidecarLinks; ///< By the engine's address: until when; `Instant::max()` while it is used.
+    Instant m_loadReportAt = Instant::max(); ///< Time of the next load report.
+    RegistryFollower m_registryFollower;
+    Instant m_enginesSelectedAt; ///< Time of the last selection.
+    std::map<std::string, Instant> m_sidecarLinks; ///< Engine address -> when to close the connection; `Instant::max()`: engine in use.
     SharedRetryBudget m_budget;
     AccountQuotas m_quotas;
     std::uint64_t m_refusedKeys = 0;
@@ -208,16 +210,16 @@
     std::shared_ptr<const RouteTable> m_table;
     bool m_isConfirmed = false;
     Instant m_firstDocumentAt;
-    std::vector<RequestId> m_awaitingDocument; ///< They wait for a document; some may have been answered or have left meanwhile.
+    std::vector<RequestId> m_awaitingDocument; ///< Requests that wait for a document; some may have ended meanwhile.
     ReservationQueue m_queue;
-    bool m_shouldAdmit = false; ///< Something has changed for those who wait.
-    Instant m_retryAdmissionAt = Instant::max(); ///< When a replica that was full is asked again.
-    std::map<std::string, Duration> m_maxCallerTimeout; ///< By route: what a caller's first attempt brings.
+    bool m_shouldAdmit = false; ///< Retry admission of the queued requests at the end of this step.
+    Instant m_retryAdmissionAt = Instant::max(); ///< When to ask full replicas again.
+    std::map<std::string, Duration> m_maxCallerTimeout; ///< By route: the longest timeout seen, taken to be that of a first attempt.
     CrashTracker m_crashes;
-    std::set<RequestFingerprint> m_newCrashFingerprints; ///< Their requests that wait are refused at the end of the step.
-    LoadShedder m_shedder; ///< Of plain services; engines' memory has its own admission.
+    std::set<RequestFingerprint> m_newCrashFingerprints; ///< Requests with these that have not run are refused at the end of the step.
+    LoadShedder m_shedder; ///< For plain services; engines have reservations.
     StreamForecast m_forecast;
-    std::optional<Instant> m_shutdownAt; ///< When this process ends, once it was told to.
+    std::optional<Instant> m_shutdownAt; ///< When this process exits; set once shutdown has begun.
     std::unordered_map<RequestId, Flow> m_flows;
     std::set<std::pair<Instant, RequestId>> m_wakes;
     Effects m_effects;
--- a/src/request/forward/ForwardReservations.cpp
+++ b/src/request/forward/ForwardReservations.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of ForwardLogic that is about engines: a place at a decode replica first, then the prompt's prefill, then the run.
+ * The part of ForwardLogic for engines: first a reservation at a decode replica, then the prefill, then the run.
  */
 #include "request/forward/ForwardLogic.h"
 
@@ -11,25 +11,25 @@
 
 namespace {
 
-    /// A place is set aside for at most this long: several times the longest prefill with its queue, so that it does not lapse
-    /// while the prompt is read, and short enough that one which a lost gateway has taken is soon free again.
+    /// Lifetime of a reservation at most: several times the longest prefill including its queueing, so that the reservation doesn't
+    /// expire during the prefill, but short enough that one of a crashed gateway is soon free again.
     constexpr Duration maxReservationLifetime = 1500ms;
-    /// A replica that had no room is asked again after this long. Twelve replicas of a dozen streams of 4 s end one every 30 ms.
+    /// A full replica is asked again after this long. Twelve replicas with a dozen streams of 4 s each end a stream every 30 ms.
     constexpr Duration fullRetryInterval = 40ms;
-    /// From the place to the first event, beside the prefill: transfer, the first tokens, the ways between.
+    /// Estimated time from the reservation to the first event, without the prefill: KV transfer, first tokens, network latency.
     constexpr Duration overheadAfterPrefill = 120ms;
     constexpr Duration minPrefillEstimate = 130ms;
-    /// Replicas that are asked to read one prompt. Where two refuse, something is wrong with more than one of them, and each further call
-    /// draws on the budget of all.
+    /// Maximum number of prefill replicas that are tried for one prompt. If two refuse, the problem isn't a single replica, and each
+    /// further call uses up the shared retry budget.
     constexpr std::size_t maxPrefillReplicas = 2;
-    /// When to come back after a surge was too much: spread over these, so that the return is no second surge.
+    /// Longest Retry-After during a surge. It is drawn at random between the shortest and this, so that the retries are no second surge.
     constexpr Duration maxOverloadRetryAfter = 4500ms;
 
 } // namespace
 
-// --- Places -----------------------------------------------------------------------------------------------------
+// --- Reservations -----------------------------------------------------------------------------------------------
 
-/// \returns false if the service's replicas set nothing aside.
+/// \returns false if the request needs no reservation, since the service has none or no decode replica is ready.
 bool ForwardLogic::enqueueForReservation(Flow& flow, Instant now)
 {
     const auto* rule = engineRule(flow);
@@ -45,7 +45,7 @@
     return true;
 }
 
-/// The latest moment for a place that still lets the first event meet the target, which counts from the caller's first attempt.
+/// The latest time for a reservation with which the first event can meet the target, which counts from the caller's first attempt.
 Instant ForwardLogic::admitBy(const Flow& flow) const
 {
     auto prefill = fromSeconds(m_replicas.meanSeconds(flow.service, UpstreamKind::Prefill));
@@ -97,11 +97,11 @@
 
 void ForwardLogic::on(const EngineCapacityReported& event, Instant)
 {
-    bool isMore = m_replicas.rooms().tell(event.address, event.room);
-    m_shouldAdmit = m_shouldAdmit || (isMore && m_queue.size());
+    bool hasIncreased = m_replicas.rooms().tell(event.address, event.room);
+    m_shouldAdmit = m_shouldAdmit || (hasIncreased && m_queue.size());
 }
 
-/// Tells the sidecar that keeps the flow's place, if any, that it is of no use any more.
+/// Notifies the sidecar that holds the flow's reservation, if any, that the reservation ends.
 void ForwardLogic::endSidecarReservation(Flow& flow, bool isComplete, bool hasFailed)
 {
     if (auto sidecar = std::exchange(flow.reservationSidecar, std::nullopt))
@@ -131,7 +131,7 @@
     requeue(*flow);
 }
 
-/// Back into the queue for places, where it was.
+/// Puts the request back into the reservation queue with its former position.
 void ForwardLogic::requeue(Flow& flow)
 {
     flow.stage = Flow::Stage::Waiting;
@@ -165,7 +165,7 @@
         m_effects.push_back(ReleaseReservation { std::move(*reservation) });
 }
 
-/// Where the request runs: at its place, if that replica still takes work.
+/// Chooses the replica that runs the request: the one with the reservation, if it still accepts work.
 std::optional<ReplicaTable::Choice> ForwardLogic::chooseForRun(Flow& flow, Instant now)
 {
     if (flow.kvSource && flow.kvSourceExpiresAt <= now)
@@ -181,9 +181,9 @@
 
 // --- Prefill ----------------------------------------------------------------------------------------------------
 
-/// Has a prefill replica read the prompt. Decode replicas read at half the speed, in small pieces between the tokens of the
-/// streams that run there, and hold those up: with prompts of 5,000 tokens at 13 a second over 7 decode replicas the first
-/// event came after 1.8 s (median) when they read all prompts themselves, against a target of 0.9 s.
+/// Starts the prefill at a prefill replica. Decode replicas prefill at half the speed, in small chunks between the tokens of the streams
+/// that run there, which they delay: with 13 prompts of 5,000 tokens a second over 7 decode replicas, the median time to the first event
+/// was 1.8 s when these prefilled all prompts themselves, with a target of 0.9 s. \returns whether a prefill was started.
 bool ForwardLogic::prefill(Flow& flow, Instant now)
 {
     const auto* rule = engineRule(flow);
@@ -197,8 +197,8 @@
         criteria.preferredZone = m_replicas.zoneOf(flow.reservation->replica);
     criteria.cacheTokens = rule->engine.cacheTokens;
     criteria.maxCalls = callLimit(rule);
-    // A prefill that is refused counts as a call beyond the first. After a restart of the whole site many replicas are remembered that have
-    // started again under other ids; each gateway learns that of each of them by a refusal, and hundreds of requests by two.
+    // A refused prefill counts as a retry. After a restart of the whole site, the gateways know many replicas that have restarted under
+    // other ids. Each gateway finds that out for each of them by a refusal, and hundreds of requests are refused twice.
     criteria.excludeOverdue = m_budget.left(flow.service, now) < 1;
     auto choice = m_replicas.choose(criteria, flow.triedPrefillReplicas, now);
     if (!choice)
@@ -240,36 +240,36 @@
     if (!flow)
         return;
     endCall(*flow, event.isMisdirected ? CallOutcome::Misdirected : CallOutcome::Refused, now);
-    // A prefill that is refused counts against the site's bound, the first one that is accepted does not. What was taken for the next one
-    // instead left out the second of two refusals, and each first one while there was no budget for a second.
+    // A refused prefill is charged to the retry budget; the first one that is accepted is not. Charging the next prefill instead missed
+    // the second of two refusals, and also the first one when there was no budget for another.
     if (event.wasNotAccepted)
         m_budget.charge(flow->service, now);
     bool isWithinBudget = m_budget.left(flow->service, now) >= 0;
     retryPrefillOrRun(*flow, event.wasNotAccepted && isWithinBudget && flow->triedPrefillReplicas.size() < maxPrefillReplicas, now);
 }
 
-/// A prefill that surely was not accepted, or whose replica has ended, is asked of another replica. Any other one that may have been
-/// accepted is not: a second one would count as an attempt, and routes whose requests may run only once have no other. The decode replica
-/// then reads the prompt itself, which is slower and holds up the streams that run there.
-void ForwardLogic::retryPrefillOrRun(Flow& flow, bool mayBeAsked, Instant now)
+/// Retries a prefill at another replica if it certainly wasn't accepted or its replica has ended (mayRetry). A prefill that may have
+/// been accepted isn't retried: a second one would count as an attempt, and routes whose requests may run only once have no other. The
+/// decode replica then runs the prefill itself, which is slower and delays the streams that run there.
+void ForwardLogic::retryPrefillOrRun(Flow& flow, bool mayRetry, Instant now)
 {
     if (crashesReplicas(flow, now))
         return refuseAsCrashing(flow, now);
-    if (!mayBeAsked || !prefill(flow, now))
+    if (!mayRetry || !prefill(flow, now))
         runOrFail(flow, now);
 }
 
-/// Before a request is sent once more: has its prompt read again if the replica that had read it started again meanwhile.
-/// \returns false if there is nothing to read, or nobody to read it within the budget.
+/// Before a request is sent again: repeats the prefill if the replica that had run it has restarted meanwhile.
+/// \returns false if that isn't needed, or not possible within the retry budget.
 bool ForwardLogic::repeatPrefill(Flow& flow, Instant now)
 {
     bool isNeeded = std::exchange(flow.hasLostKvCache, false) && !flow.hasStreamStarted;
     return isNeeded && m_budget.take(flow.service, now) && prefill(flow, now);
 }
 
-// --- How busy the engines are -----------------------------------------------------------------------------------
+// --- Load reports -----------------------------------------------------------------------------------------------
 
-/// Starts the reports with the first work after an idle time.
+/// Starts the periodic reports with the first work after an idle period.
 void ForwardLogic::scheduleLoadReport(Instant now)
 {
     if (m_loadReportAt != Instant::max() || !m_engineLoad.hasWork())
@@ -285,7 +285,7 @@
     m_effects.push_back(ReportLoad { m_engineLoad.take(now) });
 }
 
-/// The call that named the KV cache never reached the replica that it meant, so the cache is still there for another one.
+/// The call with the KV cache source didn't reach its replica, so the cache wasn't fetched and can be used by another one.
 void ForwardLogic::restoreKvSource(Flow& flow) { flow.kvSource = std::exchange(flow.sentKvSource, std::nullopt); }
 
 void ForwardLogic::releaseKvSource(Flow& flow)
--- a/src/request/forward/LoadShedder.cpp
+++ b/src/request/forward/LoadShedder.cpp
@@ -6,22 +6,23 @@
 
 namespace {
 
-    /// Answers that take more than the first part of the target are late, since the ways to the caller come on top; those that take less
-    /// than the second are early.
+    /// An answer that takes more than the first share of the target is late, since the transfer to the caller comes on top; one that
+    /// takes less than the second share is early.
     constexpr double lateTargetShare = 0.8;
     constexpr double earlyTargetShare = 0.5;
-    /// A service whose answers can't be as fast as that is not late by queueing: these many times its fastest ones, at least.
+    /// An answer is late or early by at least this multiple of the service's fastest ones: a service that is always slower than the
+    /// thresholds above is not late because of queueing.
     constexpr double lateFastestMultiple = 3;
     constexpr double earlyFastestMultiple = 2;
-    /// How much one answer counts: some ten in a row decide.
+    /// Change of the pressure per answer: about ten in a row have a clear effect.
     constexpr double pressureStep = 0.04;
-    /// Pressure below this refuses nothing: a few late answers among many are the service's own spread.
+    /// Below this pressure no request is refused: a few late answers among many are normal variation.
     constexpr double pressureThreshold = 0.15;
-    /// Some requests go on to the replicas always, as only their answers show that there is room again.
+    /// Some requests are always sent to the replicas, since only their answers show that there is capacity again.
     constexpr double maxRefusedShare = 0.9;
-    /// For how long a replica's refusal shows that replicas are full. At the settled share a gateway sees one every second or two.
+    /// For how long replicas count as full after one refused a call. In the steady state a gateway sees a refusal every second or two.
     constexpr Duration fullSignalLifetime = 5s;
-    /// The fastest answer is forgotten by this part with each answer.
+    /// The fastest latency grows by this share with each answer, so that it adapts to a service that becomes slower.
     constexpr double fastestDecay = 0.002;
 
     Duration scaled(Duration d, double by) { return fromSeconds(toSeconds(d) * by); }
--- a/src/request/forward/ReplicaTable.cpp
+++ b/src/request/forward/ReplicaTable.cpp
@@ -7,20 +7,21 @@
 
 namespace {
 
-    /// Without a controller for this long nobody's silence means anything: a gateway that is cut off serves on.
+    /// After this long without word from a controller, missing announcements don't count against a replica, so that a gateway that is
+    /// cut off from the controllers continues to serve.
     constexpr Duration controllerTimeout = 3s;
     constexpr Duration minBackoff = 400ms;
     constexpr Duration maxBackoff = 6s;
-    /// A replica announces itself every 1.2 s, and its announcement takes up to 0.8 s. One that has changed its stage unnoticed, by an
-    /// order that was carried out late, was asked again every 0.4 s and refused 106 calls of 176 requests in 10 s.
+    /// A replica announces itself every 1.2 s, and an announcement takes up to 0.8 s to arrive. With a shorter pause of 0.4 s, a replica
+    /// that had changed its stage unnoticed, because it carried out an order late, refused 106 calls for 176 requests in 10 s.
     constexpr Duration misdirectedPause = 2s;
-    /// Weight of the newest call in the running means: the last ten or so count.
+    /// Weight of the newest call in the moving averages, which thus cover about the last ten calls.
     constexpr double newestWeight = 0.15;
-    /// A call in progress is taken to cost as much as this many tokens of prompt, for its output.
+    /// Estimated cost of the output of a call in progress, in prompt tokens.
     constexpr double tokensPerCall = 1500;
-    /// Another zone costs a round trip and bytes between zones: worth a tenth of a call's time, not more.
+    /// A call to another availability zone costs a round trip and traffic between zones; this outweighs at most a tenth of a call's cost.
     constexpr double otherZonePenalty = 1.1;
-    /// A replica that failed every call would still be tried now and then, to learn that it has recovered.
+    /// Lower bound of the success rate, so that a replica that failed every call is still tried occasionally and can recover.
     constexpr double minSuccessRate = 0.04;
     constexpr double minCallSeconds = 0.002;
 
@@ -32,12 +33,12 @@
     const auto& announcement = entry.announcement;
     double cost = 0;
     if (criteria.cacheTokens && room) {
-        auto taken = criteria.kind == UpstreamKind::Prefill ? room->prefillBacklog
-                                                            : criteria.cacheTokens - std::min(criteria.cacheTokens, room->tokens);
-        cost = static_cast<double>(taken) + criteria.tokens;
+        auto usedTokens = criteria.kind == UpstreamKind::Prefill ? room->prefillBacklog
+                                                                 : criteria.cacheTokens - std::min(criteria.cacheTokens, room->tokens);
+        cost = static_cast<double>(usedTokens) + criteria.tokens;
     } else if (criteria.cacheTokens) {
         cost = static_cast<double>(load.tokens) + tokensPerCall * load.calls + criteria.tokens;
-        // Beyond its memory a replica must preempt or queue.
+        // A replica that runs out of KV memory must preempt or queue requests.
         if (load.tokens + criteria.tokens > criteria.cacheTokens)
             cost *= 4;
     } else {
@@ -45,8 +46,8 @@
     }
     double success = std::max(minSuccessRate, 1 - load.failureRate);
     cost /= success * success;
-    const auto& near = criteria.preferredZone.empty() ? m_zone : criteria.preferredZone;
-    return announcement.zone == near ? cost : cost * otherZonePenalty;
+    const auto& zone = criteria.preferredZone.empty() ? m_zone : criteria.preferredZone;
+    return announcement.zone == zone ? cost : cost * otherZonePenalty;
 }
 
 std::string ReplicaTable::zoneOf(const ReplicaRun& run) const
@@ -61,7 +62,7 @@
     return load.backoffUntil > now || (hearsControllers && entry.isSilent(now));
 }
 
-/// A replica without a stage does what both do.
+/// A replica without a stage (UpstreamKind::Plain) serves both prefill and decode.
 bool ReplicaTable::serves(const Announcement& announcement, const std::string& service, UpstreamKind kind)
 {
     bool isOfKind = announcement.kind == kind || announcement.kind == UpstreamKind::Plain;
@@ -81,10 +82,11 @@
     for (const auto& [id, entry] : m_registry.entries()) {
         if (!serves(entry.announcement, criteria.service, criteria.kind) || entry.isChanging(now))
             continue;
-        // While all engines of the subset are full, the others are as full as these, and their sidecars would have to be asked one by one.
-        bool isOutside = !m_subset.contains(entry.announcement);
-        bool hasInside = best && !std::get<0>(bestRank);
-        if (isOutside && (criteria.excludeFull || hasInside))
+        // While all engines of the subset are full, those outside it are about as full, and their sidecars would have to be asked one by
+        // one.
+        bool isOutsideSubset = !m_subset.contains(entry.announcement);
+        bool hasBestInSubset = best && !std::get<0>(bestRank);
+        if (isOutsideSubset && (criteria.excludeFull || hasBestInSubset))
             continue;
         auto run = entry.announcement.run();
         if (tried.contains(run))
@@ -97,11 +99,11 @@
             continue;
         if (isAtLimit || load.misdirectedUntil > now || (criteria.excludeFull && isFull))
             continue;
-        // An engine whose room is not known looks as idle as this gateway keeps it, which is the least of what it does.
+        // For an engine whose free memory isn't known, only this gateway's own calls are counted, which are the smallest part of its load.
         bool hasUnknownCapacity = criteria.promptTokens && !room;
-        // Gateways that see the same idle replicas must not all take the first: a spread below a tenth breaks ties.
+        // Random noise of up to a tenth, so that gateways that see the same idle replicas don't all choose the same one.
         double cost = costOf(entry, load, room, criteria) * std::uniform_real_distribution<double>(1, 1.1)(m_random);
-        std::tuple rank(isOutside, isSuspect(entry, load, now), hasUnknownCapacity, cost);
+        std::tuple rank(isOutsideSubset, isSuspect(entry, load, now), hasUnknownCapacity, cost);
         if (best && rank >= bestRank)
             continue;
         best = &entry;
--- a/src/request/forward/ReplicaTable.h
+++ b/src/request/forward/ReplicaTable.h
@@ -1,13 +1,13 @@
 /** \file
- * The replicas that a gateway calls itself: who may be sent to, how busy each is, and which one is best now.
+ * The replicas that a gateway calls: which are eligible, how loaded each one is, and which one is best for a request.
  *
- * Placement goes by what this gateway knows at once: its own calls in progress at a replica, the time that calls take there,
- * and the share of them that fails. A replica whose health check is good may still fail what it is sent, so health is learnt
- * from the calls. A replica that can't be reached is avoided for a time that doubles; one that answers with failures is
- * only made more expensive, in proportion, so that a service whose replicas all fail now and then is never emptied.
+ * The choice is based on what the gateway measures itself: its calls in progress at a replica, their latency and their failure rate.
+ * A replica that passes its health check may still fail its calls, so health is derived from the calls. A replica that can't be
+ * reached is backed off from for a time that doubles. One that answers with failures only costs more, in proportion to its failure
+ * rate, so that a service whose replicas all fail occasionally always keeps some.
  *
- * All of this is learnt of a run. A replica that starts again under its id is as idle, unknown and not avoided as one under a new
- * id; calls that are still in progress at its former run end there, and neither free nor slow the new one.
+ * All of this is kept per run, that is per process lifetime of a replica. A replica that restarts under the same id starts without
+ * load, failures and backoff, like one with a new id; calls that are still in progress at its former run don't count for the new one.
  */
 #pragma once
 
@@ -23,14 +23,14 @@
 
 namespace wrenhinge {
 
-/// How a call ended, as far as it tells something of its replica.
+/// The outcome of a call, as far as it says something about the replica.
 enum class CallOutcome : std::uint8_t {
     Served,
-    Failed, ///< An error answer, a broken answer, or bytes that are none.
-    Refused, ///< It was full, or leaving.
-    Unreachable, ///< No connection.
-    Misdirected, ///< It is another replica than was meant, or of another stage by now.
-    Abandoned, ///< The caller left, or the call was given up: says nothing.
+    Failed, ///< An error answer, an incomplete answer, or a malformed one.
+    Refused, ///< The replica was full or draining.
+    Unreachable, ///< No connection could be made.
+    Misdirected, ///< The call reached another replica than the intended one, or one that has changed its stage.
+    Abandoned, ///< The caller disconnected or the call was cancelled: says nothing about the replica.
 };
 
 class ReplicaTable {
@@ -42,27 +42,27 @@
     struct Criteria {
         std::string service;
         UpstreamKind kind = UpstreamKind::Plain;
-        std::uint32_t tokens = 0; ///< What the request puts into an engine's memory.
-        std::uint32_t promptTokens = 0; ///< Of these, what it needs from the start.
-        std::uint64_t minFreeTokens = 0; ///< With less room than this an engine would refuse it.
-        std::uint64_t cacheTokens = 0; ///< What a replica's memory holds; zero: no engine.
-        bool excludeFull = false; ///< Rather none than one that has no room now.
-        bool excludeOverdue = false; ///< Rather none than one that may have started again under another id.
-        std::uint32_t maxCalls = 0; ///< A replica with this many calls from here is not sent another; zero: no limit.
-        std::string preferredZone; ///< The zone to prefer; empty: the gateway's own.
+        std::uint32_t tokens = 0; ///< KV memory that the request needs at an engine.
+        std::uint32_t promptTokens = 0; ///< The part of it that is needed from the start.
+        std::uint64_t minFreeTokens = 0; ///< An engine with less free KV memory than this would refuse the request.
+        std::uint64_t cacheTokens = 0; ///< KV memory of a replica; zero: the service has no engines.
+        bool excludeFull = false; ///< Choose no replica rather than one that has no capacity now.
+        bool excludeOverdue = false; ///< Choose no replica rather than one that may have restarted under another id.
+        std::uint32_t maxCalls = 0; ///< A replica with this many calls from this gateway gets no more; zero: no limit.
+        std::string preferredZone; ///< Availability zone; empty: the gateway's own.
     };
     struct Load {
         std::uint32_t calls = 0; ///< In progress, from this gateway.
         std::uint64_t tokens = 0;
-        double meanSeconds = 0; ///< Of the last calls, weighted towards the newest.
-        double failureRate = 0; ///< Share of the last calls that failed.
+        double meanSeconds = 0; ///< Latency of recent calls (exponential moving average).
+        double failureRate = 0; ///< Share of recent calls that failed (exponential moving average).
         Instant backoffUntil;
         Duration backoff {};
-        Instant misdirectedUntil; ///< It is not what it announced; its next announcement tells what it is.
-        Instant fullUntil; ///< It refused to set a place aside, and is not asked again before.
+        Instant misdirectedUntil; ///< It isn't what it announced, and gets no calls until its next announcement is due.
+        Instant fullUntil; ///< It refused a reservation and is not asked for another one before this time.
     };
 
-    /// \param gateway the name of this gateway, which stays over restarts.
+    /// \param gateway the name of this gateway, which is the same after a restart.
     ReplicaTable(std::string zone, std::uint64_t seed, std::string gateway = {})
         : m_zone(std::move(zone))
         , m_random(seed)
@@ -74,33 +74,33 @@
     [[nodiscard]] const ReplicaRegistry& registry() const { return m_registry; }
     [[nodiscard]] const std::map<ReplicaRun, Load>& loads() const { return m_loads; }
 
-    /// The replica to send to, other than those in `tried`. Engines out of the subset, replicas that were not heard of lately, and those
-    /// that are avoided, are taken only if there are no others.
+    /// Chooses the replica to call, excluding those in `tried`. Engines outside the subset, replicas that have not announced themselves
+    /// lately, and replicas in backoff are chosen only if there is no other.
     std::optional<Choice> choose(const Criteria&, const std::set<ReplicaRun>& tried, Instant now);
-    /// The engines that this gateway uses, out of all that it knows.
+    /// The subset of the known engines that this gateway uses.
     EngineSubset& subset() { return m_subset; }
     [[nodiscard]] const EngineSubset& subset() const { return m_subset; }
-    /// Whether any replica of this kind takes work, however busy it is.
+    /// Whether any replica of this kind accepts work, however loaded it is.
     [[nodiscard]] bool hasReady(const std::string& service, UpstreamKind) const;
     /// The availability zone of a replica's run, or empty if that is not known or has ended.
     [[nodiscard]] std::string zoneOf(const ReplicaRun&) const;
     void begin(const ReplicaRun&, std::uint32_t tokens);
     void end(const ReplicaRun&, std::uint32_t tokens, CallOutcome, Duration took, Instant now);
-    /// Counts a place that was set aside as a call, until it is used or given back.
+    /// Counts a reservation as a call until it is used or released.
     void reserve(const ReplicaRun& run, std::uint32_t tokens) { begin(run, tokens); }
     void release(const ReplicaRun&, std::uint32_t tokens);
-    /// The replica refused to set a place aside.
+    /// Records that the replica refused a reservation. It counts as full until the given time.
     void noteFull(const ReplicaRun&, Instant until);
     void clearFull(const ReplicaRun& run) { noteFull(run, {}); }
-    /// What the sidecars of engines tell of their memory.
+    /// The free KV memory of engines, as reported by their sidecars.
     EngineRooms& rooms() { return m_rooms; }
-    /// Whether this very run takes work.
+    /// Whether exactly this run accepts work.
     [[nodiscard]] bool isReady(const ReplicaRun&) const;
-    /// Drops what is known of runs that have ended, but for those with calls in progress.
+    /// Drops the load data of runs that have ended, except those with calls in progress.
     void forgetEnded();
-    /// A controller was heard of: silence of a replica means something again.
+    /// Records that a controller sent something. Only while controllers do so, missing announcements count against a replica.
     void noteControllerContact(Instant now) { m_controllerHeardAt = now; }
-    /// Mean time of calls to the service, over its replicas; zero if nothing is known.
+    /// Mean latency of calls to the service, over its replicas; zero if none is known.
     [[nodiscard]] double meanSeconds(const std::string& service, UpstreamKind) const;
 
 private:
--- a/src/request/forward/StreamForecast.cpp
+++ b/src/request/forward/StreamForecast.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// An answer has at least one token, whatever its caller expects.
+    /// An answer has at least one token, even if its caller expects none.
     double atLeastOne(std::uint32_t tokens) { return std::max(1u, tokens); }
 
 } // namespace
--- a/src/request/forward/StreamForecast.h
+++ b/src/request/forward/StreamForecast.h
@@ -1,19 +1,19 @@
 /** \file
- * How long streams take, learnt from those that have ended here, by service.
+ * Forecasts how long a stream will take, from the streams of the same service that this gateway has served.
  *
- * A gateway that is told to stop has some seconds left, and a stream that it takes then and that outlives them is cut: its caller
- * has waited for seconds and, where the route does not let streams go on, has nothing. Refused at once, the caller is at another
- * gateway within 50 to 115 ms, an eighth of what it allows for the first event at most. So a stream is refused if it might be cut, not only
- * if it probably is: the forecast is the longest that streams of its expected length have taken, not the mean.
+ * A gateway that shuts down has some seconds left. A stream that it accepts then and that takes longer is cut off: its caller has
+ * waited for seconds and, if the route's streams can't be resumed, has nothing. A caller that is refused at once reaches another
+ * gateway within 50 to 115 ms, at most an eighth of the target for the first event. So a stream is refused if it might be cut off,
+ * not only if it probably is: the forecast is the longest time that streams of its expected length have taken, not the mean.
  *
- * A stream takes its time until the first event, and then a time for each token that its caller expects. The second varies by a
- * factor of three and more, since callers' estimates are right at the median only. Of `n` streams and a further one, each is equally
- * likely to have taken the longest for its tokens, so the further one outlives the forecast about once in n + 1, whatever the
- * distribution is. The longest stream as such is no bound, since one of many tokens is not like the others: where it was used as
- * one, three streams of 1,569 to 3,437 expected tokens were taken in the second after the signal, and cut 7 s later.
+ * A stream takes some time until its first event, and then some time per token that its caller expects. The latter varies by a
+ * factor of three and more, since callers' estimates are right only at the median. Of `n` streams and a further one, each is equally
+ * likely to have taken the longest time per token, so the further one exceeds the forecast about once in n + 1 cases, whatever the
+ * distribution. The duration of the longest stream alone is no bound, since a stream of more tokens takes longer: when it was used,
+ * three streams of 1,569 to 3,437 expected tokens were accepted in the second after the signal and cut off 7 s later.
  *
- * Example: the last hundred streams took up to 0.3 s until the first event, and up to 10 ms for each token expected after it. One of
- * 400 tokens is taken to end within 4.3 s, one of 900 within 9.3 s.
+ * Example: the last hundred streams took up to 0.3 s until the first event, and up to 10 ms per expected token after it. A stream of
+ * 400 tokens is expected to end within 4.3 s, one of 900 tokens within 9.3 s.
  */
 #pragma once
 
@@ -28,14 +28,14 @@
 
 class StreamForecast {
 public:
-    /// Streams remembered for each service: about 1 in 100 then outlives its forecast. More would count what was long ago.
+    /// Number of streams kept per service: about 1 in 100 streams then exceeds its forecast. More would include outdated ones.
     static constexpr std::size_t maxSamples = 100;
-    /// With fewer nothing is forecast: more than 1 in 50 would outlive it, and the first to end after a start are the short ones.
+    /// With fewer streams there is no forecast: more than 1 in 50 would exceed it, and the first ones to end after a start are short.
     static constexpr std::size_t minSamples = 50;
 
-    /// A stream has ended whole.
+    /// Records a stream that ended completely.
     void note(const std::string& service, std::uint32_t expectedTokens, Duration timeToFirstByte, Duration afterFirst);
-    /// What hardly any stream exceeds, from its arrival to its end. Nothing: too little is known.
+    /// \returns the time from arrival to end that hardly any such stream exceeds, or nothing if there are too few streams to tell.
     [[nodiscard]] std::optional<Duration> longest(const std::string& service, std::uint32_t expectedTokens) const;
 
 private:
