--- a/test/correctness/ForwardTest.cpp
+++ b/test/correctness/ForwardTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The decisions of a gateway that calls upstreams itself, one event at a time and without a network.
+ * Tests of ForwardLogic, the state machine of a forwarding gateway, one event at a time and without a network.
  */
 #include "ForwardBench.h"
 
@@ -7,7 +7,7 @@
 using namespace wrenhinge::forward;
 using namespace wrenhinge::bench;
 
-TEST_CASE("before a document is known requests are refused as not run, never as unknown")
+TEST_CASE("before a document is in effect, requests are refused as not run, never as unknown service")
 {
     Bench bench;
     bench.submit("/once/x", 800ms);
@@ -25,10 +25,10 @@
     CHECK(bench.finished() == 2);
 }
 
-TEST_CASE("a request that comes just before the document is served by it")
+TEST_CASE("a request that arrives shortly before the document is served by it")
 {
-    // Symptom: after a restart of the whole site callers are told to come back though the gateway could serve them 0.2 s later,
-    // and come back too late for their target. Cause: every request before the document was refused at once.
+    // Guards against refusing every request that arrives before the document. After a restart of the whole site, callers were told to
+    // retry although the gateway could serve them 0.2 s later, and their retries came too late for the target.
     Bench bench;
     bench.replica("r1");
     auto id = bench.submit("/once/x", 600ms);
@@ -45,7 +45,7 @@
     CHECK(bench.finished() == 3);
 }
 
-TEST_CASE("a request that waits is served by a document that nobody confirms once that is used")
+TEST_CASE("a waiting request is served by an unconfirmed document once that takes effect")
 {
     Bench bench;
     bench.replica("r1");
@@ -58,10 +58,10 @@
     CHECK(bench.effects<Send>().size() == 1);
 }
 
-TEST_CASE("a document that nobody confirms is used after a while, and an older one never replaces a newer one")
+TEST_CASE("an unconfirmed document takes effect after a delay, and an older one never replaces a newer one")
 {
-    // Symptom: a gateway that has just started serves by routes that were removed. Sequence: it links to a controller that was
-    // cut off first, and takes its document for the newest.
+    // Guards against serving routes that were removed: a gateway that has just started connects first to a controller that was
+    // partitioned, and takes its document for the newest.
     Bench bench;
     bench.post(DocumentReceived { document(5), false });
     CHECK(!bench.logic().isServing(bench.now));
@@ -73,7 +73,7 @@
     CHECK(bench.logic().isServing(bench.now));
 }
 
-TEST_CASE("a host and path without a route is unknown")
+TEST_CASE("a request without a matching route is refused as unknown service")
 {
     Bench bench;
     bench.serve().replica("a");
@@ -81,9 +81,9 @@
     CHECK(bench.only<Refuse>().error.code == ResultCode::UnknownService);
 }
 
-TEST_CASE("a call that may have run and may not be repeated is answered as failed, and never sent again")
+TEST_CASE("a call that may have run and may not be retried is answered as failed, and never sent again")
 {
-    // Symptom: an escort is sent twice. Sequence: the replica runs the call and its answer is lost with the connection.
+    // Guards against running a request twice: the replica runs the call, and its answer is lost with the connection.
     Bench bench;
     bench.serve().replica("a").replica("b");
     bench.submit("/once/x");
@@ -94,7 +94,7 @@
     CHECK(!bench.only<Refuse>().error.retryAfter);
 }
 
-TEST_CASE("a call that surely did not run goes to another replica")
+TEST_CASE("a call that certainly did not run is sent to another replica")
 {
     for (bool isOther : { false, true }) {
         Bench bench;
@@ -110,7 +110,7 @@
     }
 }
 
-TEST_CASE("a replica whose address belongs to another one now is forgotten")
+TEST_CASE("a replica whose address now belongs to another one gets no more calls")
 {
     Bench bench;
     bench.serve().replica("a");
@@ -124,8 +124,8 @@
 
 TEST_CASE("\"not run\" is said only if no send may have run")
 {
-    // Symptom: a caller that was told "not run" sends again, and the request runs twice. Sequence: one replica breaks off, the
-    // next one refuses, and only the last outcome is looked at.
+    // Guards against a request that runs twice because its caller was told "not run" and retried: the connection to the first replica
+    // is reset, the second one refuses, and only the last outcome is considered.
     Bench bench;
     bench.serve().replica("a").replica("b");
     bench.submit("/often/x");
@@ -135,7 +135,7 @@
     CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 502);
 }
 
-TEST_CASE("an idempotent call that failed is repeated within the route's attempts, and a late answer of the first is dropped")
+TEST_CASE("an idempotent call that failed is retried within the route's attempts, and a late answer to the first is dropped")
 {
     Bench bench;
     bench.serve().replica("a").replica("b").replica("c");
@@ -186,7 +186,7 @@
     CHECK(bench.finished() == 1);
 }
 
-TEST_CASE("a replica is told no more time than the caller has left")
+TEST_CASE("the deadline sent to a replica is no later than the caller's")
 {
     Bench bench;
     bench.serve().replica("a").replica("b");
@@ -198,7 +198,7 @@
     CHECK(bench.only<Send>().timeLeft == 260ms);
 }
 
-TEST_CASE("a draining or ended replica gets no new work, and a late announcement does not bring it back")
+TEST_CASE("a draining or ended replica gets no new work, and a delayed announcement does not revive it")
 {
     Bench bench;
     bench.serve().replica("a").replica("b");
@@ -209,21 +209,21 @@
     CHECK(bench.only<Refuse>().error.code == ResultCode::NoUpstream);
 }
 
-TEST_CASE("a caller that leaves releases the call, the place and the prompt")
+TEST_CASE("when a caller disconnects, its call, reservation and KV cache are released")
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
-    SUBCASE("while the place is asked for")
+    SUBCASE("during the reservation call")
     {
         auto id = bench.submit("/stream/x");
         bench.post(CallerDisconnected { id });
         CHECK(bench.effects<CancelCall>().size() == 1);
     }
-    SUBCASE("while the prompt is read")
+    SUBCASE("during the prefill")
     {
         auto id = bench.submit("/stream/x");
-        auto take = bench.only<ReserveAtReplica>();
-        bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
+        auto reserve = bench.only<ReserveAtReplica>();
+        bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
         bench.post(CallerDisconnected { id });
         CHECK(bench.effects<CancelCall>().size() == 1);
         CHECK(bench.only<ReleaseReservation>().reservation.id == "place-1");
@@ -242,7 +242,7 @@
         CHECK(load.calls == 0);
 }
 
-TEST_CASE("a request to an engine has a place first, then its prompt read, then runs with both")
+TEST_CASE("a request to an engine gets a reservation, then the prefill, then runs with both")
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
@@ -256,13 +256,13 @@
     CHECK(send.source->handle == "kv-1");
 }
 
-TEST_CASE("without a sound prefill replica the decode replica reads the prompt itself")
+TEST_CASE("without a working prefill replica the decode replica runs the prefill itself")
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
     bench.submit("/stream/x");
-    auto take = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
+    auto reserve = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
     auto prefill = bench.only<Send>();
     bench.post(CallFailed { prefill.id, prefill.attempt, true, "reset" });
     auto send = bench.only<Send>();
@@ -271,17 +271,17 @@
     CHECK(send.reservation == "place-1");
 }
 
-TEST_CASE("a prefill that surely was not accepted is asked of another replica, one that may have been is not")
+TEST_CASE("a prefill that certainly was not accepted is retried at another replica, one that may have been is not")
 {
-    // Symptom: streams pause at decode replicas while a prefill replica is dark, though others have time. Sequence: the connection
-    // to the dark one is not made, and the decode replica is sent the prompt to read. Cause: no other prefill replica was asked.
+    // Guards against stalled streams at decode replicas while one prefill replica is unreachable and others are idle: the connection
+    // can't be made, and the decode replica had to run the prefill because no other prefill replica was tried.
     enum class Answer { NoConnection, StatedNotRun, Lost };
     for (auto answer : { Answer::NoConnection, Answer::StatedNotRun, Answer::Lost }) {
         Bench bench;
         bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill).replica("q", UpstreamKind::Prefill);
         auto id = bench.submit("/stream/x");
-        auto take = bench.only<ReserveAtReplica>();
-        bench.post(ReservationGranted { id, take.attempt, "place-1" });
+        auto reserve = bench.only<ReserveAtReplica>();
+        bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
         auto first = bench.only<Send>();
         REQUIRE(first.isPrefill);
         if (answer == Answer::StatedNotRun)
@@ -299,29 +299,29 @@
     }
 }
 
-TEST_CASE("each prefill that is refused takes from the retry budget, whether or not another one follows")
+TEST_CASE("each refused prefill is charged to the retry budget, whether or not another one follows")
 {
-    // Symptom: more calls beyond the first reach a service than the site's bound allows. Sequence: replicas have changed their stage
-    // unnoticed, and refuse prompts, two for each request. Cause: only the second prefill was taken from the budget, so that two refusals
-    // cost one, and one cost nothing once the budget was used up.
+    // Guards against more retries than the site's retry budget allows: replicas have changed their stage unnoticed and refuse two
+    // prefills per request. Only the second prefill was charged, so two refusals cost one retry, and one cost nothing once the budget
+    // was used up.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill).replica("q", UpstreamKind::Prefill);
     auto left = [&bench] { return bench.logic().retryBudget(bench.now).at("engine"); };
     auto id = bench.submit("/stream/x");
-    auto whole = left();
+    auto initialBudget = left();
     bench.post(ReservationGranted { id, bench.only<ReserveAtReplica>().attempt, "place-1" });
     bench.post(PrefillFailed { id, bench.only<Send>().attempt, true, true });
-    CHECK(left() == whole - 1);
+    CHECK(left() == initialBudget - 1);
     REQUIRE(bench.only<Send>().isPrefill);
     bench.post(PrefillFailed { id, bench.only<Send>().attempt, true, true });
-    CHECK(left() == whole - 2);
+    CHECK(left() == initialBudget - 2);
     CHECK(!bench.only<Send>().isPrefill);
 }
 
-TEST_CASE("a prompt that was read stays of use when the decode replica turns out to be another one")
+TEST_CASE("a KV cache can still be used when the call with it was misdirected")
 {
-    // Symptom: after a restart prompts are read twice. Sequence: a decode replica crashed and another run came at its address, which sets
-    // a place aside without looking whom the call means, and refuses the run. Cause: the KV cache was taken for spent.
+    // Guards against prefilling a prompt twice after a restart: a decode replica crashed, and another one at its address grants a
+    // reservation without checking for whom the call is meant, but refuses to run the request. The KV cache was taken for used up.
     for (bool isReached : { true, false }) {
         Bench bench;
         bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
@@ -347,8 +347,8 @@
 
 TEST_CASE("a replica without a stage that has read a prompt may also run it")
 {
-    // Symptom: a service whose only engine does both is refused as if no replica were there. Cause: the one that was asked to read the
-    // prompt was left out when the run was placed.
+    // Guards against refusing requests to a service whose only engine does both prefill and decode: the replica that had run the
+    // prefill was excluded when the replica for the run was chosen.
     Bench bench;
     auto both = document(1);
     both.services[0].isEngine = true;
@@ -362,21 +362,21 @@
     request.path = "/once/x";
     request.promptTokens = 500;
     bench.post(Submit { id, request });
-    auto read = bench.only<Send>();
-    REQUIRE(read.isPrefill);
-    bench.post(PrefillFinished { id, read.attempt, "kv-1" });
+    auto prefill = bench.only<Send>();
+    REQUIRE(prefill.isPrefill);
+    bench.post(PrefillFinished { id, prefill.attempt, "kv-1" });
     CHECK(!bench.only<Send>().isPrefill);
     CHECK(bench.only<Send>().replica.id == "r1");
 }
 
-TEST_CASE("a prefill replica that falls silent does not hold the request beyond its target")
+TEST_CASE("a prefill replica that becomes unreachable does not delay the request beyond its target")
 {
-    // Symptom: a first event after 2.7 s though nothing was full. Sequence: the prefill replica goes dark with the prompt.
+    // Guards against a first event after 2.7 s although nothing was full: the prefill replica becomes unreachable during the prefill.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
     bench.submit("/stream/x");
-    auto take = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
+    auto reserve = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
     auto prefill = bench.only<Send>();
     bench.wait(650ms);
     CHECK(bench.only<CancelCall>().attempt == prefill.attempt);
@@ -385,10 +385,10 @@
     CHECK(!send.isPrefill);
 }
 
-TEST_CASE("a decode replica that does not say whether it has a place is left for another one")
+TEST_CASE("after a reservation call times out, another decode replica is asked")
 {
-    // Symptom: a caller gives up after 3.6 s without a word, and its request reached no replica. Sequence: the replica goes dark
-    // while a kept connection to it stays open, and is asked for a place over that. Cause: the question had no time limit.
+    // Guards against a caller that gives up after 3.6 s without an answer although its request reached no replica: the replica becomes
+    // unreachable, is asked for a reservation over an idle connection that is still open, and the call had no timeout.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode);
     bench.submit("/stream/x");
@@ -401,14 +401,14 @@
     CHECK((bench.only<Send>().replica == second.replica));
 }
 
-TEST_CASE("no place in time: the caller is told when to come back, and nothing was sent")
+TEST_CASE("without a reservation in time the caller gets a Retry-After, and nothing was sent")
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode);
     bench.submit("/stream/x");
     for (int i = 0; i < 30 && bench.effects<Refuse>().empty(); ++i) {
-        for (const auto& take : bench.effects<ReserveAtReplica>())
-            bench.post(ReservationRefused { take.id, take.attempt, true });
+        for (const auto& reserve : bench.effects<ReserveAtReplica>())
+            bench.post(ReservationRefused { reserve.id, reserve.attempt, true });
         CHECK(bench.effects<Send>().empty());
         bench.wait(40ms);
     }
@@ -420,7 +420,7 @@
     CHECK(bench.logic().requests() == 0);
 }
 
-TEST_CASE("a place that comes free goes to a request that can be in time before one that has come back late")
+TEST_CASE("free capacity goes to a request that can meet its target before a late retry")
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode);
@@ -431,21 +431,21 @@
     auto fresh = bench.submit("/stream/fresh", 14s);
     CHECK(bench.effects<ReserveAtReplica>().empty());
     bench.wait(41ms);
-    auto takes = bench.effects<ReserveAtReplica>();
-    REQUIRE(takes.size() == 3);
-    CHECK((takes[0].id == first.id));
-    CHECK((takes[1].id == fresh));
-    CHECK((takes[2].id == late));
+    auto reservations = bench.effects<ReserveAtReplica>();
+    REQUIRE(reservations.size() == 3);
+    CHECK((reservations[0].id == first.id));
+    CHECK((reservations[1].id == fresh));
+    CHECK((reservations[2].id == late));
 }
 
-TEST_CASE("a stream is passed on in whole events, and breaks off if it can't be finished")
+TEST_CASE("a stream is passed on in complete events, and is aborted if it can't be finished")
 {
-    // Symptom: a client's parser fails on half an event. Sequence: the replica crashes inside one.
+    // Guards against an incomplete event that makes a client's parser fail: the replica crashes in the middle of an event.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode);
     auto id = bench.submit("/stream/x");
-    auto take = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
+    auto reserve = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
     auto send = bench.only<Send>();
     bench.streamHead(send);
     bench.post(AnswerBody { id, send.attempt, "id: 1\ndata: a\n\nid: 2\nda" });
@@ -457,13 +457,13 @@
     CHECK(bench.effects<AbortStream>().size() == 1);
 }
 
-TEST_CASE("a resumable stream goes on at another replica after its last whole event, and repeats none")
+TEST_CASE("a resumable stream is resumed at another replica after its last complete event, without duplicates")
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode);
     auto id = bench.submit("/resumable/x");
-    auto take = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
+    auto reserve = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
     auto first = bench.only<Send>();
     bench.streamHead(first);
     bench.post(AnswerBody { id, first.attempt, "id: 1\ndata: a\n\nid: 2\nda" });
@@ -479,27 +479,27 @@
     CHECK(bench.effects<EndStream>().size() == 1);
 }
 
-TEST_CASE("a resend copies what the prefill replica still keeps of the prompt, as long as that one is sound")
+TEST_CASE("a retry copies the KV cache that the prefill replica still holds, as long as that replica is ready")
 {
-    // Symptom: streams at a decode replica pause for 0.3 s and more. Sequence: a replica crashes, its resumable streams go on at
-    // another one, which reads all their prompts anew between the tokens of its own streams. Cause: the replica that had read the
-    // prompt still keeps it in its cache, and was not asked.
-    for (bool isReaderThere : { true, false }) {
+    // Guards against streams at a decode replica that stall for 0.3 s and more: a replica crashes, and its resumable streams are resumed
+    // at another one, which prefills all their prompts between the tokens of its own streams. The prefill replica still had the prompts
+    // in its cache, but was not used.
+    for (bool isPrefillReplicaReady : { true, false }) {
         Bench bench;
         bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
         auto id = bench.submit("/resumable/x");
         auto first = bench.run(id);
         CHECK(first.cacheAddress.empty());
-        if (!isReaderThere)
+        if (!isPrefillReplicaReady)
             bench.post(Withdrawn { "p" });
         bench.post(CallFailed { id, first.attempt, true, "reset" });
         auto second = bench.only<Send>();
         CHECK(!second.source);
-        CHECK(second.cacheAddress == (isReaderThere ? "p:80" : ""));
+        CHECK(second.cacheAddress == (isPrefillReplicaReady ? "p:80" : ""));
     }
 }
 
-TEST_CASE("a request whose replicas can't be reached did not run, and costs no resend when there is no other replica")
+TEST_CASE("a request whose replicas can't be reached did not run, and uses no retry budget when there is no other replica")
 {
     Bench bench;
     bench.serve().replica("a");
@@ -508,14 +508,14 @@
     bench.post(CallFailed { send.id, send.attempt, false, "refused" });
     CHECK(bench.only<Refuse>().error.code == ResultCode::NoUpstream);
     CHECK(bench.only<Refuse>().error.retryAfter);
-    // All of what a gateway may use in its first window: 0.4 of a slack of 60, and of 0.2 for the one request.
+    // The whole budget of a gateway in its first window: 0.4 of the slack of 60 plus 0.2 for the one request.
     CHECK(bench.logic().retryBudget(bench.now).at("plain") > 24);
 }
 
-TEST_CASE("a replica is never sent more calls than this gateway's share of its connections")
+TEST_CASE("a replica never gets more calls than this gateway's share of its connections")
 {
-    // Symptom: requests are reset that no replica ever read. Sequence: a slow replica gathers calls of all gateways, until it accepts no
-    // more connections. Cause: each gateway opened as many as it liked.
+    // Guards against connection resets of requests that no replica has read: a slow replica accumulates calls from all gateways until it
+    // accepts no more connections, because the gateways did not limit their connections.
     Bench bench;
     auto limited = document(1);
     limited.services[0].maxConnections = 10;
@@ -532,7 +532,7 @@
     CHECK(bench.effects<Send>().empty());
     CHECK(bench.only<Refuse>().error.code == ResultCode::Overloaded);
     CHECK(bench.only<Refuse>().error.retryAfter);
-    // Fewer gateways, larger shares, once no others can be left that go by the former number.
+    // With fewer gateways the share grows, once no gateway can still be using the former number.
     bench.post(RegistryHeartbeat { {}, 1 });
     bench.submit("/once/x");
     CHECK(bench.effects<Send>().empty());
@@ -542,7 +542,7 @@
     CHECK(bench.effects<Send>().size() == 1);
 }
 
-TEST_CASE("a resend that the budget does not allow is not made")
+TEST_CASE("a retry that the budget does not allow is not sent")
 {
     Bench bench;
     bench.serve().replica("a").replica("b").replica("c");
@@ -561,7 +561,7 @@
 
 namespace {
 
-/// Has a gateway serve a number of streams that last so long.
+/// Lets the gateway serve n streams, each of which ends this long after its first event.
 void serveStreams(Bench& bench, std::size_t n, Duration afterFirst)
 {
     for (std::size_t i = 0; i < n; ++i) {
@@ -578,10 +578,10 @@
 
 } // namespace
 
-TEST_CASE("a gateway that stops refuses at once a stream that might be cut, and names no other way than another gateway")
+TEST_CASE("a gateway that shuts down refuses at once a stream that might be cut off, with a minimal Retry-After")
 {
-    // Symptom: callers of streams get neither an answer nor a refusal around a planned stop. Sequence: the gateway is told to stop, a
-    // stream comes in the seconds in which callers are still sent to it, lasts longer than the process, and is cut.
+    // Guards against streams that are cut off by a planned shutdown: a stream arrives in the seconds in which the draining gateway still
+    // receives requests, and outlives the process.
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode).replica("a");
     bench.post(Stop { bench.now + stopLimit });
@@ -591,14 +591,14 @@
     CHECK(httpStatusOf(refusal.error.code) == 503);
     REQUIRE(refusal.error.retryAfter);
     CHECK(*refusal.error.retryAfter <= 10ms);
-    // What ends in time whatever happens, or is no stream, is served.
+    // A request that certainly ends in time, or is no stream, is served.
     bench.submit("/stream/x", 7s);
     CHECK(bench.effects<ReserveAtReplica>().size() == 1);
     bench.submit("/once/x");
     CHECK(bench.effects<Send>().size() == 1);
 }
 
-TEST_CASE("a gateway that stops serves the streams that hardly ever last longer than it")
+TEST_CASE("a gateway that shuts down serves streams that are forecast to end in time")
 {
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
@@ -612,11 +612,11 @@
     CHECK(bench.only<Refuse>().error.code == ResultCode::Draining);
 }
 
-TEST_CASE("a caller with less patience than others is refused like them if its stream might be cut")
+TEST_CASE("a caller with a shorter timeout than others is refused like them if its stream might be cut off")
 {
-    // Symptom: streams that begin in the seconds after the signal to stop are cut 5 to 7 s later. Sequence: callers' patience at their
-    // first attempt differs by 15%, 11.9 to 14 s; nine in ten bring 30 ms less than the most. Cause: the difference was taken for that of a
-    // caller which another stopping gateway had refused, and such a one was served unless its stream was more likely cut than not.
+    // Guards against streams that begin in the seconds after the signal to stop and are cut off 5 to 7 s later. Callers' timeouts at their
+    // first attempt differ by 15%, 11.9 to 14 s, and nine in ten are 30 ms below the longest. The difference was taken for a retry after
+    // a refusal by another stopping gateway, and a retry was served unless its stream was more likely to be cut off than not.
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     serveStreams(bench, StreamForecast::minSamples, 2s);
@@ -628,20 +628,20 @@
     }
 }
 
-TEST_CASE("callers that differ in patience at their first attempt wait for a place alike; one that has come back goes behind")
+TEST_CASE("callers with different timeouts at their first attempt wait equally long for a reservation; retries go behind")
 {
-    // Symptom: two in three generations that come while all decode replicas are full are refused after 150 ms, the others wait for 0.6 s.
-    // Sequence: callers' patience differs by 15%. Cause: each that brought less than the most was taken for one that had come back.
+    // Guards against refusing two in three requests after 150 ms while all decode replicas are full and the others wait for 0.6 s.
+    // Callers' timeouts differ by 15%, and each that was below the longest was taken for a retry.
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     bench.run(bench.submit("/stream/x", 14s));
     auto isRefusedAfter = [&bench](Duration callerTimeout, Duration wait) {
         bench.submit("/stream/x", callerTimeout);
-        auto take = bench.only<ReserveAtReplica>();
-        bench.post(ReservationRefused { take.id, take.attempt, true });
+        auto reserve = bench.only<ReserveAtReplica>();
+        bench.post(ReservationRefused { reserve.id, reserve.attempt, true });
         bench.wait(wait);
         bool isRefused = !bench.effects<Refuse>().empty();
-        bench.post(CallerDisconnected { take.id });
+        bench.post(CallerDisconnected { reserve.id });
         return isRefused;
     };
     for (Duration callerTimeout : { Duration(13900ms), Duration(12900ms), Duration(11900ms) })
@@ -649,10 +649,10 @@
     CHECK(isRefusedAfter(14s - ForwardLogic::minOverloadRetryAfter, 200ms));
 }
 
-TEST_CASE("a caller that has made a new connection is not taken for one that has come back")
+TEST_CASE("a caller that opened a new connection is not taken for one that retries")
 {
-    // Symptom: a stream that began after the signal to stop is cut 7 s later. Sequence: its caller has spent the round trip of a new
-    // connection, others on the route came over kept ones. Cause: the difference was taken for that of a caller refused elsewhere.
+    // Guards against a stream that begins after the signal to stop and is cut off 7 s later. Its caller had spent the round trip of a new
+    // connection while others on the route reused connections, and the difference was taken for a retry after a refusal elsewhere.
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     bench.post(Stop { bench.now + stopLimit });
@@ -662,23 +662,23 @@
     CHECK(bench.only<Refuse>().error.code == ResultCode::Draining);
 }
 
-TEST_CASE("streams that wait for a place when the gateway is told to stop are refused as well")
+TEST_CASE("streams that wait for a reservation when the shutdown begins are refused as well")
 {
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     bench.submit("/stream/x", 14s);
-    auto take = bench.only<ReserveAtReplica>();
-    bench.post(ReservationRefused { take.id, take.attempt, true });
+    auto reserve = bench.only<ReserveAtReplica>();
+    bench.post(ReservationRefused { reserve.id, reserve.attempt, true });
     CHECK(bench.effects<Refuse>().empty());
     bench.post(Stop { bench.now + stopLimit });
-    CHECK((bench.only<Refuse>().id == take.id));
+    CHECK((bench.only<Refuse>().id == reserve.id));
     CHECK(bench.only<Refuse>().error.code == ResultCode::Draining);
 }
 
-TEST_CASE("a shorter timeout of the route does not make callers look as if they had come back")
+TEST_CASE("after a route's timeout is shortened, callers are not taken for retries")
 {
-    // Symptom: after a change that shortens a route's timeout all its requests go behind those of others, as if they were late.
-    // Cause: what a caller brings was taken to be what the route allows it.
+    // Guards against treating all requests of a route as late after its timeout was shortened: the caller's timeout was taken to be that
+    // of the route.
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     bench.run(bench.submit("/stream/x", 14s));
@@ -687,15 +687,15 @@
         route.timeout = 10s;
     bench.post(DocumentReceived { shorter, true });
     bench.submit("/stream/x", 14s);
-    auto take = bench.only<ReserveAtReplica>();
-    bench.post(ReservationRefused { take.id, take.attempt, true });
+    auto reserve = bench.only<ReserveAtReplica>();
+    bench.post(ReservationRefused { reserve.id, reserve.attempt, true });
     bench.wait(200ms);
     CHECK(bench.effects<Refuse>().empty());
 }
 
-// --- Sidecars beside engines ------------------------------------------------------------------------------------
+// --- Sidecars of engines ----------------------------------------------------------------------------------------
 
-TEST_CASE("a request reserves at the sidecar of an engine, and the sidecar hears of its end")
+TEST_CASE("a request gets its reservation from the sidecar of an engine, and the sidecar is notified of its end")
 {
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
@@ -718,7 +718,7 @@
     CHECK(bench.only<NotifyPrefill>().hasEnded);
     auto send = bench.only<Send>();
     CHECK(send.replica.id == "d");
-    CHECK(send.reservation.empty()); // The engine knows nothing of it.
+    CHECK(send.reservation.empty()); // Held by the sidecar; the engine doesn't know of it.
     bench.streamHead(send);
     bench.post(AnswerBody { send.id, send.attempt, "id: 1\ndata: a\n\n" });
     bench.post(AnswerEnd { send.id, send.attempt });
@@ -726,7 +726,7 @@
     CHECK(bench.only<EndSidecarReservation>().isComplete);
 }
 
-TEST_CASE("a reservation is given back whatever becomes of its request")
+TEST_CASE("a reservation is released when its caller disconnects, also before it was granted")
 {
     for (bool isGranted : { false, true }) {
         Bench bench;
@@ -742,7 +742,7 @@
     }
 }
 
-TEST_CASE("a gateway asks an engine with room, waits while none has any, and goes on without sidecars")
+TEST_CASE("a gateway asks an engine with free memory, waits while there is none, and continues without sidecars")
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode);
@@ -750,103 +750,103 @@
     bench.post(EngineCapacityReported { "e:80", { PeerId(6), 30000, 0 } });
     bench.submit("/stream/x");
     CHECK((bench.only<ReserveAtSidecar>().sidecar == PeerId(6)));
-    // The sidecar refuses: another gateway was there first. No room anywhere, so the request waits until there is some.
+    // The sidecar refuses, as another gateway was faster. No engine has free memory now, so the request waits until one has.
     bench.post(SidecarReservationReply { bench.only<ReserveAtSidecar>().id, bench.only<ReserveAtSidecar>().attempt, false, 0 });
     CHECK(bench.effects<ReserveAtSidecar>().empty());
     bench.wait(100ms);
     CHECK(bench.effects<ReserveAtSidecar>().empty());
     bench.post(EngineCapacityReported { "d:80", { PeerId(5), 20000, 0 } });
     CHECK((bench.only<ReserveAtSidecar>().sidecar == PeerId(5)));
-    // A sidecar that does not answer is left alone, and one that is gone leaves its engine to be asked itself.
+    // The reservation call to a sidecar times out. An engine whose sidecar has disconnected is asked directly.
     bench.post(PeerDisconnected { PeerId(6) });
     bench.wait(121ms);
     CHECK(bench.effects<EndSidecarReservation>().size() == 1);
     CHECK(bench.only<ReserveAtReplica>().replica.id == "e");
 }
 
-TEST_CASE("of prefill replicas the one with the shortest backlog is chosen, whoever has sent there")
+TEST_CASE("the prefill replica with the shortest backlog is chosen, whichever gateways caused the backlog")
 {
-    // Symptom: first events come 0.7 s late. Sequence: eight gateways send one prompt each at a time; each takes the nearest replica, where
-    // 20 prompts wait beside one with 2. Cause: each knew only what it had sent itself.
+    // Guards against first events that are 0.7 s late: eight gateways each send one prompt at a time to the nearest replica, where 20
+    // prompts are queued while another replica has 2, because each gateway knew only its own calls.
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("q", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     std::map<std::string, int> chosen;
     for (int i = 0; i < 10; ++i) {
         bench.post(EngineCapacityReported { "p:80", { PeerId(5), 0, 50000 } });
         bench.post(EngineCapacityReported { "q:80", { PeerId(6), 0, 5000 } });
-        auto take = [&] {
+        auto reserve = [&] {
             bench.submit("/stream/x");
             return bench.only<ReserveAtReplica>();
         }();
-        bench.post(ReservationGranted { take.id, take.attempt, "place" });
+        bench.post(ReservationGranted { reserve.id, reserve.attempt, "place" });
         ++chosen[bench.only<Send>().replica.id];
     }
     CHECK(chosen["q"] == 10);
 }
 
-// --- Replicas that start again under their id -------------------------------------------------------------------
+// --- Replicas that restart under the same id --------------------------------------------------------------------
 
-TEST_CASE("what was taken, read or asked for at a former run is given up at once, and nothing is given back to the newer one")
+TEST_CASE("reservations, KV caches and calls of a former run are dropped at once, and nothing is released at the newer run")
 {
-    // Symptom: requests wait for places and prompts that nobody holds, and places of others are dropped. Sequence: an engine crashes and
-    // starts again under its id and address, knows nothing of the places and prompts that its former run held, and gives out the same
-    // names anew. Cause: the gateway went on by the id.
+    // Guards against requests that wait for reservations and KV caches that no longer exist, and against releasing those of other
+    // requests: an engine crashes and restarts under the same id and address, without the reservations and KV caches of its former run,
+    // and issues the same ids again. The gateway identified the engine by its id only.
     Bench bench;
     bench.serve().restart("d", UpstreamKind::Decode).restart("p", UpstreamKind::Prefill).restart("q", UpstreamKind::Prefill);
     auto id = bench.submit("/stream/x");
-    auto take = bench.only<ReserveAtReplica>();
-    SUBCASE("a place that is asked for is asked for again, and the late answer is dropped")
+    auto reserve = bench.only<ReserveAtReplica>();
+    SUBCASE("a pending reservation is requested again, and the late answer is dropped")
     {
         bench.restart("d", UpstreamKind::Decode);
-        CHECK((bench.only<CancelCall>().attempt == take.attempt));
+        CHECK((bench.only<CancelCall>().attempt == reserve.attempt));
         auto again = bench.only<ReserveAtReplica>();
         CHECK(again.replica.id == "d");
-        CHECK(take.replica.isBefore(again.replica));
-        bench.post(ReservationGranted { id, take.attempt, "late" });
+        CHECK(reserve.replica.isBefore(again.replica));
+        bench.post(ReservationGranted { id, reserve.attempt, "late" });
         CHECK(bench.effects<Send>().empty());
         bench.post(ReservationGranted { id, again.attempt, "place-2" });
         CHECK(bench.only<Send>().isPrefill);
     }
-    SUBCASE("a place that was taken is not used, nor dropped at the newer run")
+    SUBCASE("a granted reservation is neither used nor released at the newer run")
     {
-        bench.post(ReservationGranted { id, take.attempt, "place-1" });
-        auto read = bench.only<Send>();
+        bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
+        auto prefill = bench.only<Send>();
         bench.restart("d", UpstreamKind::Decode);
         CHECK(bench.effects<ReleaseReservation>().empty());
         CHECK(bench.effects<CancelCall>().empty());
-        bench.post(PrefillFinished { id, read.attempt, "kv-1" });
+        bench.post(PrefillFinished { id, prefill.attempt, "kv-1" });
         auto run = bench.only<Send>();
         CHECK(run.reservation.empty());
         REQUIRE(run.source);
         CHECK(run.source->handle == "kv-1");
-        CHECK(take.replica.isBefore(run.replica));
+        CHECK(reserve.replica.isBefore(run.replica));
     }
-    SUBCASE("a place that was taken is not dropped when the caller leaves")
+    SUBCASE("a granted reservation is not released when the caller disconnects")
     {
-        bench.post(ReservationGranted { id, take.attempt, "place-1" });
+        bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
         bench.restart("d", UpstreamKind::Decode);
         bench.post(CallerDisconnected { id });
         CHECK(bench.effects<ReleaseReservation>().empty());
         CHECK(bench.knowsOnlyPresentRuns());
     }
-    SUBCASE("a prompt that is being read is read elsewhere, also where a request may run once only, and the late handle is dropped")
+    SUBCASE("a prefill in progress is retried at another replica, also if a request may run only once, and the late handle is dropped")
     {
-        bench.post(ReservationGranted { id, take.attempt, "place-1" });
-        auto read = bench.only<Send>();
+        bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
+        auto prefill = bench.only<Send>();
         auto left = bench.logic().retryBudget(bench.now).at("engine");
-        bench.restart(read.replica.id, UpstreamKind::Prefill);
-        CHECK((bench.only<CancelCall>().attempt == read.attempt));
+        bench.restart(prefill.replica.id, UpstreamKind::Prefill);
+        CHECK((bench.only<CancelCall>().attempt == prefill.attempt));
         auto again = bench.only<Send>();
         CHECK(again.isPrefill);
-        CHECK((again.replica != read.replica));
+        CHECK((again.replica != prefill.replica));
         CHECK(bench.logic().retryBudget(bench.now).at("engine") == left - 1);
-        bench.post(PrefillFinished { id, read.attempt, "late" });
+        bench.post(PrefillFinished { id, prefill.attempt, "late" });
         CHECK(bench.effects<Send>().empty());
         bench.post(PrefillFinished { id, again.attempt, "kv-2" });
         auto run = bench.only<Send>();
         CHECK(run.reservation == "place-1");
         CHECK(run.source->handle == "kv-2");
-        // It has not run yet: a refusal may say so.
+        // The request has not run yet, so a refusal may say so.
         bench.answer(run, 503, true);
         CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 503);
     }
@@ -854,10 +854,10 @@
         CHECK(load.calls <= 1);
 }
 
-TEST_CASE("a prompt whose KV cache went with its replica is read again before the request is sent once more")
+TEST_CASE("the prefill is repeated before a retry if the KV cache was lost with its replica")
 {
-    // Symptom: streams at a decode replica pause while it reads a prompt itself. Sequence: a prefill replica has read the prompt, crashes
-    // before the decode replica has fetched it, and starts again; the decode replica states that it did not run the request.
+    // Guards against streams at a decode replica that stall while it runs a prefill itself: a prefill replica has read the prompt, crashes
+    // before the decode replica has fetched the KV cache, and restarts; the decode replica states that it did not run the request.
     Bench bench;
     bench.serve().restart("d", UpstreamKind::Decode).restart("e", UpstreamKind::Decode);
     bench.restart("p", UpstreamKind::Prefill).restart("q", UpstreamKind::Prefill);
@@ -865,15 +865,15 @@
     auto first = bench.run(id);
     REQUIRE(first.source);
     bench.restart(first.source->replica.id, UpstreamKind::Prefill);
-    // It may have been fetched by then: the call goes on.
+    // The KV cache may have been fetched already, so the call continues.
     CHECK(bench.effects<CancelCall>().empty());
     SUBCASE("not run")
     {
         bench.answer(first, 503, true);
-        auto read = bench.only<Send>();
-        CHECK(read.isPrefill);
-        CHECK((read.replica != first.source->replica));
-        bench.post(PrefillFinished { id, read.attempt, "kv-2" });
+        auto prefill = bench.only<Send>();
+        CHECK(prefill.isPrefill);
+        CHECK((prefill.replica != first.source->replica));
+        bench.post(PrefillFinished { id, prefill.attempt, "kv-2" });
         auto second = bench.only<Send>();
         CHECK((second.replica != first.replica));
         CHECK(second.source->handle == "kv-2");
@@ -881,12 +881,12 @@
         bench.answer(second, 503, true);
         CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 503);
     }
-    SUBCASE("not reached: the former run's handle is not named again")
+    SUBCASE("not reached: the handle of the former run is not sent again")
     {
         bench.post(CallFailed { id, first.attempt, false, "refused" });
         CHECK(bench.only<Send>().isPrefill);
     }
-    SUBCASE("fetched in time: nothing is read twice")
+    SUBCASE("fetched in time: the prefill is not repeated")
     {
         bench.streamHead(first);
         bench.post(AnswerBody { id, first.attempt, "id: 1\ndata: a\n\n" });
@@ -896,28 +896,28 @@
     }
 }
 
-TEST_CASE("without budget for another prefill the decode replica reads the prompt itself")
+TEST_CASE("without budget for another prefill the decode replica runs the prefill itself")
 {
     Bench bench;
     bench.serve().restart("d", UpstreamKind::Decode).restart("p", UpstreamKind::Prefill).restart("q", UpstreamKind::Prefill);
     auto id = bench.submit("/stream/x");
-    auto take = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { id, take.attempt, "place-1" });
-    bool wasReadAgain = true;
-    while (wasReadAgain) {
-        auto read = bench.only<Send>();
-        bench.restart(read.replica.id, UpstreamKind::Prefill);
-        wasReadAgain = bench.only<Send>().isPrefill;
+    auto reserve = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
+    bool wasPrefillRetried = true;
+    while (wasPrefillRetried) {
+        auto prefill = bench.only<Send>();
+        bench.restart(prefill.replica.id, UpstreamKind::Prefill);
+        wasPrefillRetried = bench.only<Send>().isPrefill;
     }
     CHECK(bench.only<Send>().reservation == "place-1");
     CHECK(!bench.only<Send>().source);
     CHECK(bench.logic().retryBudget(bench.now).at("engine") < 1);
 }
 
-TEST_CASE("a call that runs at a former run ends by itself, and is never said not to have run")
+TEST_CASE("a call that runs at a former run ends by itself, and is never reported as not run")
 {
-    // Symptom: a request runs twice, or is refused as not run though it may have. Sequence: its replica crashes while it runs, and starts
-    // again before the connection's reset arrives.
+    // Guards against a request that runs twice, or is refused as not run although it may have run: its replica crashes while it runs, and
+    // restarts before the connection reset arrives.
     Bench bench;
     bench.serve().restart("a");
     SUBCASE("once only: answered as failed")
@@ -931,7 +931,7 @@
         CHECK(bench.only<Refuse>().error.code == ResultCode::UpstreamFailed);
         CHECK(bench.effects<Send>().empty());
     }
-    SUBCASE("idempotent: goes to the newer run, within the route's attempts")
+    SUBCASE("idempotent: sent to the newer run, within the route's attempts")
     {
         auto id = bench.submit("/often/x");
         auto send = bench.only<Send>();
@@ -944,7 +944,7 @@
         CHECK(bench.only<Refuse>().error.code == ResultCode::UpstreamFailed);
         CHECK(bench.effects<Send>().empty());
     }
-    SUBCASE("an answer that was on its way is passed on")
+    SUBCASE("an answer that was in transit is passed on")
     {
         bench.submit("/once/x");
         auto send = bench.only<Send>();
@@ -952,7 +952,7 @@
         bench.answer(send, 200);
         CHECK(bench.only<Reply>().status == 200);
     }
-    SUBCASE("an answer that the call was meant for another replica ends the former run only")
+    SUBCASE("a misdirected call counts against the former run only")
     {
         bench.submit("/once/x");
         auto send = bench.only<Send>();
@@ -963,15 +963,15 @@
     CHECK(bench.knowsOnlyPresentRuns());
 }
 
-TEST_CASE("kept connections and KV copies of a former run are not used")
+TEST_CASE("idle connections and cached prompts of a former run are not used")
 {
     Bench bench;
     bench.serve().restart("d", UpstreamKind::Decode).restart("e", UpstreamKind::Decode).restart("p", UpstreamKind::Prefill);
     auto id = bench.submit("/resumable/x");
     auto first = bench.run(id);
-    auto reader = first.source->replica;
+    auto prefillReplica = first.source->replica;
     bench.restart("p", UpstreamKind::Prefill);
-    CHECK((bench.only<DropConnections>().replica == reader));
+    CHECK((bench.only<DropConnections>().replica == prefillReplica));
     CHECK(bench.effects<Note>().front().code == EventCode::UpstreamRestarted);
     bench.streamHead(first);
     bench.post(AnswerBody { id, first.attempt, "id: 1\ndata: a\n\n" });
@@ -981,7 +981,7 @@
     CHECK(second.cacheAddress.empty());
 }
 
-TEST_CASE("a replica that has left and started again takes work, and what its former run says late changes nothing")
+TEST_CASE("a replica that was withdrawn and restarted gets work, and late messages of its former run have no effect")
 {
     Bench bench;
     bench.serve().restart("a");
@@ -997,14 +997,13 @@
     CHECK(former.isBefore(bench.only<Send>().replica));
 }
 
-// --- Replicas that nobody has heard of lately -------------------------------------------------------------------
+// --- Replicas without recent announcements ----------------------------------------------------------------------
 
-TEST_CASE("prefills at replicas that nobody has heard of lately stay within the retry budget")
+TEST_CASE("prefills at replicas without recent announcements stay within the retry budget")
 {
-    // Symptom: after a loss of a whole large site 1,612 calls beyond the first reach the engines in 10 s, where 899 are allowed. Sequence:
-    // gateways start and use the replicas that they remember; many of these have started again under other ids and answer that they are
-    // not meant. Cause: a prefill that is refused counts as a call beyond the first, and each request's first one was sent whatever
-    // was left of the budget.
+    // Guards against exceeding the retry budget: after the loss of a whole large site, 1,612 retries reached the engines in 10 s where
+    // 899 are allowed. Gateways start and use the replicas that they had stored; many of these have restarted under other ids and refuse
+    // the calls as misdirected. A refused prefill counts as a retry, and each request's first one was sent whatever was left of the budget.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode);
     for (int i = 0; i < 200; ++i) {
@@ -1021,23 +1020,23 @@
     int refused = 0;
     for (int i = 0; i < 100; ++i) {
         bench.submit("/stream/x");
-        auto take = bench.only<ReserveAtReplica>();
-        bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
+        auto reserve = bench.only<ReserveAtReplica>();
+        bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
         allowed = std::max(allowed, bench.logic().retryBudget(bench.now)["engine"] + refused);
         while (bench.only<Send>().isPrefill) {
             ++refused;
             auto prefill = bench.only<Send>();
             bench.post(PrefillFailed { prefill.id, prefill.attempt, true, true });
         }
-        bench.post(CallerDisconnected { take.id });
+        bench.post(CallerDisconnected { reserve.id });
     }
     CHECK(refused > 0);
     CHECK(refused <= allowed);
-    // One that was heard of reads prompts all the same.
+    // A replica with a recent announcement still gets prefills.
     bench.replica("heard", UpstreamKind::Prefill);
     bench.submit("/stream/x");
-    auto take = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
+    auto reserve = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
     CHECK(bench.only<Send>().isPrefill);
     CHECK(bench.only<Send>().replica.id == "heard");
 }
@@ -1048,8 +1047,8 @@
 
 constexpr RequestFingerprint crashing { 7 };
 
-/// What a controller tells of a request under which so many replicas have ended, a second apart.
-CrashesReported told(int crashes, Duration newest = 1s)
+/// A controller's report of a request that has crashed this many replicas, one second apart.
+CrashesReported crashReport(int crashes, Duration newest = 1s)
 {
     CrashesReported event;
     for (int i = 0; i < crashes; ++i)
@@ -1059,10 +1058,10 @@
 
 } // namespace
 
-TEST_CASE("a gateway tells of each replica that ends under a request, and refuses the request after three")
+TEST_CASE("a gateway reports each replica that crashes under a request, and refuses the request after three crashes")
 {
-    // Symptom: a request ends replica after replica and cuts off all that runs there. Sequence: the replica's connection ends, the caller
-    // gets 502 and sends the request again. Cause: a gateway forgot the request with its answer, so each one was a new request.
+    // Guards against a request that crashes one replica after another, with all requests that run there: the replica's connection is
+    // closed, the caller gets 502 and retries. The gateway forgot the request once it was answered and treated each retry as a new one.
     Bench bench;
     bench.serve().replica("a").replica("b").replica("c").replica("d");
     for (int i = 0; i < 3; ++i) {
@@ -1070,12 +1069,12 @@
         auto send = bench.only<Send>();
         bench.now += 100ms;
         bench.post(CallFailed { id, send.attempt, true, "the connection ended" });
-        auto tell = bench.only<ReportCrashes>();
-        CHECK(!tell.controller);
-        REQUIRE(tell.report.crashes.size() == 1);
-        CHECK((tell.report.crashes[0].request == crashing));
-        CHECK((tell.report.crashes[0].run() == send.replica));
-        CHECK(tell.report.crashes[0].ranFor == 100ms);
+        auto reported = bench.only<ReportCrashes>();
+        CHECK(!reported.controller);
+        REQUIRE(reported.report.crashes.size() == 1);
+        CHECK((reported.report.crashes[0].request == crashing));
+        CHECK((reported.report.crashes[0].run() == send.replica));
+        CHECK(reported.report.crashes[0].ranFor == 100ms);
         CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 502);
         bench.post(Withdrawn { send.replica.id, {} });
         bench.now += 400ms;
@@ -1092,50 +1091,50 @@
     CHECK(bench.finished() == 4);
 }
 
-TEST_CASE("a request that others have seen end three replicas is refused here, with nothing sent to any")
+TEST_CASE("a request that crashed three replicas elsewhere is refused, with nothing sent to a replica")
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill).replica("a");
-    bench.post(told(2));
+    bench.post(crashReport(2));
     bench.submit("/once/x", {}, crashing);
     CHECK(bench.effects<Send>().size() == 1);
-    bench.post(told(3));
+    bench.post(crashReport(3));
     CHECK(bench.effects<Note>().back().code == EventCode::RequestCrashesReplicas);
     bench.submit("/stream/x", {}, crashing);
     CHECK(bench.effects<Send>().empty());
     CHECK(bench.effects<ReserveAtReplica>().empty());
     CHECK(bench.only<Refuse>().error.code == ResultCode::CrashesReplicas);
-    // A controller that has just started is told what this gateway knows.
+    // The gateway reports what it knows to a controller that has just connected.
     bench.post(ControllerConnected { PeerId(5) });
     CHECK((bench.only<ReportCrashes>().controller == PeerId(5)));
     CHECK(bench.only<ReportCrashes>().report.crashes.size() == 3);
 }
 
-TEST_CASE("a request that waits for its place or its prompt ends at once when others like it have ended replicas")
+TEST_CASE("a request that waits for a reservation or prefill is refused at once when its fingerprint has crashed replicas")
 {
-    // Symptom: replicas end for some seconds after all gateways know the request. Sequence: several of it come at once and wait for a place
-    // or a prefill; meanwhile a third replica ends. Cause: only new requests are refused.
+    // Guards against replicas that crash for some seconds after all gateways know the request: several copies arrive at once and wait for
+    // a reservation or a prefill while a third replica crashes, and only new requests were refused.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
-    SUBCASE("asks for a place")
+    SUBCASE("during the reservation call")
     {
         bench.submit("/stream/x", {}, crashing);
         CHECK(bench.effects<ReserveAtReplica>().size() == 1);
     }
-    SUBCASE("waits for one")
+    SUBCASE("queued for a reservation")
     {
         bench.submit("/stream/x", {}, crashing);
-        auto take = bench.only<ReserveAtReplica>();
-        bench.post(ReservationRefused { take.id, take.attempt, true });
+        auto reserve = bench.only<ReserveAtReplica>();
+        bench.post(ReservationRefused { reserve.id, reserve.attempt, true });
     }
-    SUBCASE("has its prompt read")
+    SUBCASE("during the prefill")
     {
         bench.submit("/stream/x", {}, crashing);
-        auto take = bench.only<ReserveAtReplica>();
-        bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
+        auto reserve = bench.only<ReserveAtReplica>();
+        bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
         CHECK(bench.only<Send>().isPrefill);
     }
-    bench.post(told(3));
+    bench.post(crashReport(3));
     CHECK(bench.only<Refuse>().error.code == ResultCode::CrashesReplicas);
     CHECK(bench.effects<Send>().empty());
     CHECK(bench.finished() == 1);
@@ -1143,15 +1142,15 @@
     CHECK(bench.effects<Send>().empty());
 }
 
-TEST_CASE("a stream is not taken over by another replica once three have ended under it")
+TEST_CASE("a stream is not resumed at another replica once three have crashed under it")
 {
-    // Symptom: one request ends two replicas, as its route lets a stream go on elsewhere.
+    // Guards against one request that crashes two replicas because its route allows the stream to be resumed.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
-    bench.post(told(2));
+    bench.post(crashReport(2));
     auto id = bench.submit("/resumable/x", {}, crashing);
     auto run = bench.run(id);
-    SUBCASE("it has begun")
+    SUBCASE("the stream has started")
     {
         bench.streamHead(run);
         bench.post(AnswerBody { id, run.attempt, "id: 1\ndata: a\n\n" });
@@ -1159,7 +1158,7 @@
         bench.post(CallFailed { id, run.attempt, true, "the connection ended" });
         CHECK(bench.effects<AbortStream>().size() == 1);
     }
-    SUBCASE("it has not")
+    SUBCASE("the stream has not started")
     {
         bench.now += 100ms;
         bench.post(CallFailed { id, run.attempt, true, "the connection ended" });
@@ -1169,18 +1168,18 @@
     CHECK(bench.finished() == 1);
 }
 
-TEST_CASE("a whole answer is told, so that nobody refuses the request; a replica that leaves has not ended under it")
+TEST_CASE("a complete answer is reported, so that no gateway refuses the request; a draining replica does not count as crashed")
 {
     Bench bench;
     bench.serve().replica("a").replica("b");
-    bench.post(told(2));
+    bench.post(crashReport(2));
     bench.submit("/once/x", {}, crashing);
     bench.now += 100ms;
     bench.answer(bench.only<Send>(), 200);
-    auto tell = bench.only<ReportCrashes>();
-    CHECK(tell.report.crashes.empty());
-    REQUIRE(tell.report.served.size() == 1);
-    CHECK((tell.report.served[0].request == crashing));
+    auto reported = bench.only<ReportCrashes>();
+    CHECK(reported.report.crashes.empty());
+    REQUIRE(reported.report.served.size() == 1);
+    CHECK((reported.report.served[0].request == crashing));
     auto id = bench.submit("/once/x", {}, crashing);
     auto send = bench.only<Send>();
     bench.replica(send.replica.id, UpstreamKind::Plain, 2, ReplicaState::Draining);
--- a/test/correctness/ReplicaTest.cpp
+++ b/test/correctness/ReplicaTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * What is learnt of replicas: announcements, placement, the retry budget, and the queue for places.
+ * Tests of replica announcements, the choice of replicas, the retry budget, and the reservation queue.
  */
 #include "request/fleet/SharedRetryBudget.h"
 #include "request/forward/ReplicaTable.h"
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("of one replica's announcements the highest sequence counts, in whatever order they come")
+TEST_CASE("the announcement with the highest sequence number counts, in whatever order they arrive")
 {
     ReplicaRegistry registry;
     CHECK(registry.announce(announcement("a", 3, ReplicaState::Draining), 0s, start) == ReplicaRegistry::Change::Changed);
@@ -45,7 +45,7 @@
     CHECK(registry.announce(announcement("a", 4, ReplicaState::Draining), 0s, start) == ReplicaRegistry::Change::Renewed);
 }
 
-TEST_CASE("a replica that has ended is not revived by an announcement that was delayed")
+TEST_CASE("a replica that has ended is not revived by a delayed announcement")
 {
     ReplicaRegistry registry;
     registry.announce(announcement("a", 3), 0s, start);
@@ -54,7 +54,7 @@
     CHECK(registry.entries().empty());
 }
 
-TEST_CASE("a silent replica is used only if there is no other, and silence means nothing while no controller is heard")
+TEST_CASE("a replica without recent announcements is used only if there is no other, unless no controller sends anything")
 {
     ReplicaTable table("z", 1);
     table.registry().announce(announcement("silent", 1), 10s, start);
@@ -66,9 +66,9 @@
     CHECK(table.choose(need(), { { "heard", {} } }, start)->run.id == "silent");
 }
 
-TEST_CASE("a replica that fails what it is sent gets less, and is never given up")
+TEST_CASE("a replica that fails calls gets fewer of them, but always some")
 {
-    // Symptom: a third of the calls fail though every health check is good. Cause: health is asked for and not learnt from calls.
+    // Guards against a third of the calls failing while all health checks pass: health must be derived from the calls.
     ReplicaTable table("z", 1);
     table.noteControllerContact(start);
     table.registry().announce(announcement("good", 1), 0s, start);
@@ -85,7 +85,7 @@
     CHECK(chosen["grey"] > 0);
 }
 
-TEST_CASE("a replica that can't be reached is left alone for a time that doubles")
+TEST_CASE("the backoff of a replica that can't be reached doubles")
 {
     ReplicaTable table("z", 1);
     table.noteControllerContact(start);
@@ -102,7 +102,7 @@
 
 TEST_CASE("all gateways together stay within the retry budget in any window")
 {
-    CHECK(rc::check("resends of all gateways against the site's bound", [] {
+    CHECK(rc::check("retries of all gateways stay within the site's retry budget", [] {
         auto gateways = *rc::gen::inRange(1, 12);
         auto perTenth = *rc::gen::container<std::vector<int>>(100, rc::gen::inRange(0, 12));
         RetryBudgetSettings settings { 0.2, 60, 10s };
@@ -117,7 +117,7 @@
                 for (int i = 0; i < n; ++i) {
                     budget.countRequest("s", now);
                     ++requests;
-                    // Every request fails and asks for two resends.
+                    // Every request fails and needs two retries.
                     resends += budget.take("s", now) ? 1 : 0;
                     resends += budget.take("s", now) ? 1 : 0;
                 }
@@ -127,11 +127,11 @@
     }));
 }
 
-TEST_CASE("after a loss of the whole site no gateway takes more of the slack than its share")
+TEST_CASE("after the loss of a whole site no gateway uses more than its share of the slack")
 {
-    // Symptom: after a power loss of all instances 353 calls beyond the first reach a service in 10 s, where 222 are allowed. Sequence: 30
-    // gateways start; no controller has told them how many they are, or one that counts those it has met so far. Cause: each took itself
-    // for one of ten, or of the few that were counted first.
+    // Guards against exceeding the retry budget: after a power loss of all instances, 353 retries reached a service in 10 s where 222 are
+    // allowed. 30 gateways start, and no controller has told them their number, or only one that counts those connected so far. Each
+    // assumed to be one of ten, or of the few that were counted first.
     constexpr std::uint32_t gateways = 30;
     RetryBudgetSettings settings { 0.2, 100, 10s };
     std::vector<SharedRetryBudget> budgets(gateways, SharedRetryBudget(settings));
@@ -149,15 +149,15 @@
         takeAll(start + 1s);
     }
     CHECK(resends <= settings.slack);
-    // Gateways that have ended for longer than a window leave their share to the others.
+    // The share of gateways that ended more than a window ago goes to the others.
     budgets.front().setGateways(10, start + 12s);
     CHECK(budgets.front().gateways() == 10);
 }
 
-TEST_CASE("a gateway that has just started leaves room for what its former run sent in the same window")
+TEST_CASE("a gateway that has just started leaves budget for the retries of its former run in the same window")
 {
-    // Symptom: 285 calls beyond the first in 10 s, where 276 are allowed. Sequence: gateways resend in a surge, lose power, start again and
-    // resend what replicas refuse that were replaced meanwhile. Cause: each run kept to the bound by itself.
+    // Guards against 285 retries in 10 s where 276 are allowed: gateways retry in a surge, lose power, restart, and retry requests that
+    // were refused by replicas which had been replaced meanwhile. Each run kept within the budget by itself.
     SharedRetryBudget budget({ 0.2, 100, 10s });
     budget.setGateways(1, start);
     budget.countRequest("s", start);
@@ -165,10 +165,10 @@
     CHECK(budget.left("s", start + 11s) > 0.79 * 100);
 }
 
-TEST_CASE("a replica that is not what it announced is not asked again before its next announcement")
+TEST_CASE("a replica that is not what it announced gets no calls before its next announcement is due")
 {
-    // Symptom: 106 calls beyond the first in 10 s, for 176 requests. Sequence: an order to change the stage gets no answer and is carried
-    // out; the replica refuses what is meant for its former stage. Cause: it was asked again after 0.4 s, by each request anew.
+    // Guards against 106 retries in 10 s for 176 requests: an order to change the stage is carried out but its answer is lost, and the
+    // replica refuses calls for its former stage. It was called again after 0.4 s, by each request.
     ReplicaTable table("z", 1);
     table.registry().announce(announcement("a", 1), 0s, start);
     table.noteControllerContact(start);
@@ -178,7 +178,7 @@
     CHECK(table.choose(need(), {}, start + 2s));
 }
 
-TEST_CASE("those who can be in time go first, by rank and arrival, and leave when they can't")
+TEST_CASE("requests are queued by rank, ability to meet the target, and arrival, and expire when they can't meet it")
 {
     ReservationQueue queue;
     auto id = [](std::uint64_t n) { return RequestId { PeerId(1), n }; };
@@ -187,10 +187,10 @@
     queue.add(ReservationQueue::makeWaiter(id(3), 1, start + 20ms, start + 620ms, start + 20ms));
     queue.add(ReservationQueue::makeWaiter(id(4), 0, start + 30ms, start + 630ms, start + 30ms));
     CHECK((queue.inOrder(start + 40ms) == std::vector { id(4), id(1), id(3), id(2) }));
-    // The late one leaves first: it waits only for what others leave.
-    auto lateLeaves = start + 10ms + ReservationQueue::maxLateWait;
-    CHECK((queue.nextExpiry() == lateLeaves));
-    CHECK((queue.takeExpired(lateLeaves) == std::vector { id(2) }));
+    // The late request expires first: it waits only for capacity that the others leave.
+    auto lateExpiry = start + 10ms + ReservationQueue::maxLateWait;
+    CHECK((queue.nextExpiry() == lateExpiry));
+    CHECK((queue.takeExpired(lateExpiry) == std::vector { id(2) }));
     CHECK((queue.nextExpiry() == start + 600ms));
     CHECK((queue.takeExpired(start + 600ms) == std::vector { id(1) }));
     CHECK((queue.takeExpired(start + 630ms) == std::vector { id(3), id(4) }));
--- a/test/correctness/StreamForecastTest.cpp
+++ b/test/correctness/StreamForecastTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * How long streams are taken to last, and which of them a gateway that stops refuses.
+ * Tests of StreamForecast, by which a gateway that shuts down decides which streams to refuse.
  */
 #include "request/forward/StreamForecast.h"
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("nothing is forecast from a few streams, nor for another service")
+TEST_CASE("there is no forecast from a few streams, nor for another service")
 {
     StreamForecast forecast;
     for (std::size_t i = 0; i + 1 < StreamForecast::minSamples; ++i)
@@ -25,7 +25,7 @@
     CHECK(!forecast.longest("other", expected));
 }
 
-TEST_CASE("a forecast grows with what the caller expects, also beyond the longest stream")
+TEST_CASE("a forecast grows with the expected tokens, also beyond the longest stream")
 {
     StreamForecast forecast;
     for (std::size_t i = 0; i < StreamForecast::minSamples; ++i)
@@ -37,7 +37,7 @@
     CHECK(forecast.longest("engine", 0).has_value());
 }
 
-TEST_CASE("what was long ago is forgotten")
+TEST_CASE("only the newest streams count")
 {
     StreamForecast forecast;
     forecast.note("engine", expected, 200ms, 60s);
@@ -46,9 +46,9 @@
     CHECK(forecast.longest("engine", expected) == 2200ms);
 }
 
-TEST_CASE("about one stream in a hundred outlives its forecast when callers' estimates are off by a factor")
+TEST_CASE("about one stream in a hundred exceeds its forecast when callers' estimates are off by a factor")
 {
-    // Estimates that are right at the median and off by a factor of 1.65 for a third of the streams on each side, as callers' are.
+    // Like callers' estimates: right at the median, and off by a factor of 1.65 or more for a third of the streams.
     std::mt19937_64 random(1);
     std::lognormal_distribution<double> tokens(6.3, 0.7);
     std::lognormal_distribution<double> error(0, 0.5);
--- a/test/support/ForwardBench.h
+++ b/test/support/ForwardBench.h
@@ -1,5 +1,5 @@
 /** \file
- * A ForwardLogic with a document and replicas, driven one event at a time without a network.
+ * Test fixture: a ForwardLogic with a routing document and replicas, driven one event at a time without a network.
  */
 #pragma once
 
@@ -46,7 +46,7 @@
     return document;
 }
 
-/// A logic with the document in force and the given replicas, and what it did last.
+/// A ForwardLogic, the current time, and the effects of the last event.
 class Bench {
 public:
     explicit Bench(ForwardLogic::Settings settings = { "zone-1", 1, { 0.2, 60, 10s } })
@@ -78,13 +78,13 @@
         return *this;
     }
 
-    /// The replica starts again under its id, as another run, and counts anew.
+    /// The replica restarts under the same id, as a newer run whose sequence numbers start at 1 again.
     Bench& restart(const std::string& id, UpstreamKind kind = UpstreamKind::Plain)
     {
         return replica(id, kind, 1, ReplicaState::Ready, ReplicaStart(++m_starts));
     }
 
-    /// Whether nothing is kept of runs that have ended.
+    /// Whether there is no load data of runs that have ended.
     bool knowsOnlyPresentRuns()
     {
         const auto& loads = m_logic.replicas().loads();
@@ -157,11 +157,11 @@
         post(AnswerHead { send.id, send.attempt, metadata, {} });
     }
 
-    /// Takes a request to an engine through place and prefill. \returns its run.
+    /// Takes a request to an engine through reservation and prefill. \returns the call that runs it.
     Send run(const RequestId&)
     {
-        auto take = only<ReserveAtReplica>();
-        post(ReservationGranted { take.id, take.attempt, "place-1" });
+        auto reserve = only<ReserveAtReplica>();
+        post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
         auto prefill = only<Send>();
         REQUIRE(prefill.isPrefill);
         post(PrefillFinished { prefill.id, prefill.attempt, "kv-1" });
