--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -197,14 +197,14 @@
         if (const auto* roster = std::get_if<ControllerRoster>(&message)) {
             for (const auto& address : roster->addresses)
                 m_hub.dial(address);
-        } else if (const auto* announced = std::get_if<Announced>(&message)) {
+        } else if (const auto* announced = std::get_if<RelayedAnnouncement>(&message)) {
             post(*announced);
-        } else if (const auto* withdrawn = std::get_if<Withdrawn>(&message)) {
+        } else if (const auto* withdrawn = std::get_if<ReplicaWithdrawn>(&message)) {
             post(*withdrawn);
-        } else if (const auto* room = std::get_if<EngineRoom>(&message)) {
-            post(forward::EngineCapacityReported { room->address, { peer, room->tokens, room->prefillBacklog } });
+        } else if (const auto* headroom = std::get_if<EngineHeadroom>(&message)) {
+            post(forward::EngineCapacityReported { headroom->address, { peer, headroom->tokens, headroom->prefillBacklog } });
         } else if (const auto* reply = std::get_if<ReservationReply>(&message)) {
-            post(forward::SidecarReservationReply { reply->request, reply->attempt, reply->isGranted, reply->room });
+            post(forward::SidecarReservationReply { reply->request, reply->attempt, reply->isGranted, reply->headroom });
         } else if (auto* heartbeat = std::get_if<RegistryHeartbeat>(&message)) {
             post(forward::RegistryHeartbeatReceived { peer, std::move(*heartbeat) });
         } else if (auto* list = std::get_if<RegistryList>(&message)) {
@@ -216,7 +216,7 @@
         } else if (auto* totals = std::get_if<QuotaTotals>(&message)) {
             post(forward::QuotaTotalsReceived { peer, std::move(*totals) });
         } else if (std::holds_alternative<DocumentOffer>(message) || std::holds_alternative<DocumentPart>(message)) {
-            m_documents.post(document::FromPeer { peer, std::move(message) });
+            m_documents.post(document::PeerMessage { peer, std::move(message) });
         }
     }
 
@@ -224,15 +224,15 @@
     {
         if (auto* ask = std::get_if<document::Ask>(&effect))
             m_hub.send(ask->to, ask->request);
-        else if (auto* take = std::get_if<document::Take>(&effect))
+        else if (auto* take = std::get_if<document::Install>(&effect))
             onDocument(*take);
         else if (auto* confirm = std::get_if<document::Confirm>(&effect))
             post(forward::DocumentConfirmed { confirm->version });
-        else if (auto* note = std::get_if<Note>(&effect))
+        else if (auto* note = std::get_if<LogEvent>(&effect))
             m_runtime.log().write(*note);
     }
 
-    void onDocument(const document::Take& take)
+    void onDocument(const document::Install& take)
     {
         auto document = m_reader.read(*take.text);
         if (!document) {
@@ -440,7 +440,9 @@
     void carry(forward::ReportQuotaUsage& use)
     {
         const auto& report = use.report;
-        tellControllers([&report](PeerId to) { return QuotaReport { report.uses, report.teller == to, report.asksForAll, report.told }; });
+        tellControllers([&report](PeerId to) {
+            return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.told };
+        });
     }
 
     void tellControllers(const Message& message)
@@ -468,7 +470,7 @@
         m_callers.setLimits(limits);
     }
 
-    void carry(Note& note)
+    void carry(LogEvent& note)
     {
         if (auto* exchange = find(note.request))
             note.text += " (" + exchange->callerId + ")";
@@ -529,7 +531,7 @@
                 auto state = announcement.state == ReplicaState::Draining ? "draining" : isAvoided ? "ejected" : "in-use";
                 list.push_back({ { "id", id }, { "service", announcement.service }, { "replica", id },
                     { "started_unix_ms", announcement.start.value() }, { "zone", announcement.zone }, { "kind", nameOf(announcement.kind) },
-                    { "state", state }, { "heard_ms", (now - entry.heardAt) / 1ms }, { "failing", load.failureRate },
+                    { "state", state }, { "heard_ms", (now - entry.lastHeardAt) / 1ms }, { "failing", load.failureRate },
                     { "mean_seconds", load.meanSeconds },
                     { "load",
                         { { "slots", announcement.slots }, { "occupied", load.calls }, { "queued", 0 }, { "tokens", load.tokens } } } });
--- a/src/request/forward/ForwardCrashes.cpp
+++ b/src/request/forward/ForwardCrashes.cpp
@@ -37,17 +37,20 @@
 
 bool ForwardLogic::crashesReplicas(const Flow& flow, Instant now) const
 {
-    return m_crashes.standing(flow.request.fingerprint, now) == CrashTracker::Standing::Refused;
+    return m_crashes.statusOf(flow.request.fingerprint, now) == CrashTracker::Status::Refused;
 }
 
 /// An earlier request with the same fingerprint may have run, so the answer doesn't say "not run", and it has no Retry-After.
-void ForwardLogic::refuseAsCrashing(Flow& flow, Instant now) { refuse(flow, ResultCode::CrashesReplicas, CrashTracker::whyRefused, now); }
+void ForwardLogic::refuseAsCrashing(Flow& flow, Instant now)
+{
+    refuse(flow, ResultCode::CrashesReplicas, CrashTracker::refusalReason, now);
+}
 
 void ForwardLogic::recordIfRefused(RequestFingerprint fingerprint, Instant now)
 {
-    if (m_crashes.standing(fingerprint, now) != CrashTracker::Standing::Refused || !m_newCrashFingerprints.insert(fingerprint).second)
+    if (m_crashes.statusOf(fingerprint, now) != CrashTracker::Status::Refused || !m_newCrashFingerprints.insert(fingerprint).second)
         return;
-    m_effects.push_back(Note { EventCode::RequestCrashesReplicas, {}, m_crashes.text(fingerprint) });
+    m_effects.push_back(LogEvent { EventCode::RequestCrashesReplicas, {}, m_crashes.text(fingerprint) });
 }
 
 /// Refuses the requests whose fingerprint was refused in this step and that have not run yet: each would crash another replica.
@@ -70,7 +73,7 @@
 void ForwardLogic::on(const ControllerConnected& event, Instant now)
 {
     // The controller may have restarted and lost what it knew.
-    reportCrashes(event.controller, m_crashes.describeAll(CrashTracker::Standing::Unknown, now));
+    reportCrashes(event.controller, m_crashes.describeAll(CrashTracker::Status::Unknown, now));
 }
 
 void ForwardLogic::on(const CrashesReported& event, Instant now)
--- a/src/request/forward/ForwardEffects.h
+++ b/src/request/forward/ForwardEffects.h
@@ -163,6 +163,6 @@
 };
 using Effect = std::variant<Send, CancelCall, ReserveAtReplica, ReserveAtSidecar, EndSidecarReservation, NotifyPrefill, ReleaseReservation,
     ReleaseKvCache, Reply, Refuse, BeginStream, StreamBytes, EndStream, AbortStream, Finished, DropConnections, SetLimits, ConnectSidecar,
-    DisconnectSidecar, FetchRegistry, ReportLoad, ReportCrashes, ReportQuotaUsage, Note>;
+    DisconnectSidecar, FetchRegistry, ReportLoad, ReportCrashes, ReportQuotaUsage, LogEvent>;
 
 } // namespace wrenhinge::forward
--- a/src/request/forward/ForwardEngines.cpp
+++ b/src/request/forward/ForwardEngines.cpp
@@ -11,15 +11,15 @@
 
 void ForwardLogic::on(const RegistryHeartbeatReceived& event, Instant now)
 {
-    m_quotas.heard(event.controller, now);
+    m_quotas.noteContact(event.controller, now);
     on(event.heartbeat, now);
-    m_registryFollower.told(event.controller, event.heartbeat.digest, event.heartbeat.known);
+    m_registryFollower.digestReceived(event.controller, event.heartbeat.digest, event.heartbeat.known);
     fetchRegistry(now);
 }
 
 void ForwardLogic::on(const RegistryListReceived& event, Instant now)
 {
-    m_registryFollower.listed(event.controller);
+    m_registryFollower.listReceived(event.controller);
     for (const auto& announced : event.list.known)
         apply(announced, now);
     for (const auto& withdrawn : event.list.ended)
@@ -33,15 +33,15 @@
 void ForwardLogic::fetchRegistry(Instant now)
 {
     auto digest = m_replicas.registry().digest();
-    if (auto controller = m_registryFollower.nextToAsk(digest, now))
+    if (auto controller = m_registryFollower.nextPeerToQuery(digest, now))
         m_effects.push_back(FetchRegistry { *controller, { digest } });
 }
 
 void ForwardLogic::on(const PeerDisconnected& event, Instant)
 {
     m_replicas.rooms().forget(event.peer);
-    m_registryFollower.gone(event.peer);
-    m_quotas.gone(event.peer);
+    m_registryFollower.disconnected(event.peer);
+    m_quotas.disconnected(event.peer);
 }
 
 // --- The subset of engines --------------------------------------------------------------------------------------
--- a/src/request/forward/ForwardLogic.cpp
+++ b/src/request/forward/ForwardLogic.cpp
@@ -86,7 +86,7 @@
         m_table = std::make_shared<const RouteTable>(event.document);
         m_effects.push_back(SetLimits { event.document.limits });
         applyQuotaRules(now);
-        m_effects.push_back(Note { EventCode::DocumentInForce, {}, "version " + std::to_string(documentVersion()) });
+        m_effects.push_back(LogEvent { EventCode::DocumentInForce, {}, "version " + std::to_string(documentVersion()) });
     }
     refuseRevokedKeys(now);
     if (event.isCurrent)
@@ -99,7 +99,7 @@
     beginAwaitingDocument(now);
 }
 
-void ForwardLogic::on(const Announced& event, Instant now)
+void ForwardLogic::on(const RelayedAnnouncement& event, Instant now)
 {
     const auto& [announcement, age] = event;
     bool isEngine = announcement.kind != UpstreamKind::Plain;
@@ -109,14 +109,14 @@
 }
 
 /// \returns whether the replica is new, restarted or changed.
-bool ForwardLogic::apply(const Announced& event, Instant now)
+bool ForwardLogic::apply(const RelayedAnnouncement& event, Instant now)
 {
     const auto& announcement = event.announcement;
     m_replicas.noteControllerContact(now);
     auto former = m_replicas.registry().newestRun(announcement.id);
     auto change = m_replicas.registry().announce(announcement, event.age, now);
     if (change == ReplicaRegistry::Change::Restarted) {
-        m_effects.push_back(Note { EventCode::UpstreamRestarted, {}, toString(announcement.run()) + " after " + toString(*former) });
+        m_effects.push_back(LogEvent { EventCode::UpstreamRestarted, {}, toString(announcement.run()) + " after " + toString(*former) });
         m_effects.push_back(DropConnections { *former });
         abandonFormerRuns(announcement.run(), now);
         m_replicas.forgetEnded();
@@ -124,24 +124,24 @@
         return false;
     }
     bool isDraining = announcement.state == ReplicaState::Draining;
-    m_effects.push_back(Note { isDraining ? EventCode::UpstreamDraining : EventCode::UpstreamAnnounced, {},
+    m_effects.push_back(LogEvent { isDraining ? EventCode::UpstreamDraining : EventCode::UpstreamAnnounced, {},
         announcement.id + " of " + announcement.service + " at " + announcement.address });
     return true;
 }
 
-void ForwardLogic::on(const Withdrawn& event, Instant now)
+void ForwardLogic::on(const ReplicaWithdrawn& event, Instant now)
 {
     if (apply(event, now))
         selectEngines(now);
 }
 
 /// \returns whether the end of this run was not known yet.
-bool ForwardLogic::apply(const Withdrawn& event, Instant now)
+bool ForwardLogic::apply(const ReplicaWithdrawn& event, Instant now)
 {
     if (!m_replicas.registry().withdraw(event.run(), now))
         return false;
     m_effects.push_back(DropConnections { event.run() });
-    m_effects.push_back(Note { EventCode::UpstreamDraining, {}, toString(event.run()) + " has ended" });
+    m_effects.push_back(LogEvent { EventCode::UpstreamDraining, {}, toString(event.run()) + " has ended" });
     return true;
 }
 
@@ -151,7 +151,7 @@
     m_budget.setGateways(event.gateways, now);
     m_quotas.setGateways(m_budget.gateways());
     m_replicas.registry().renew(event, now);
-    m_replicas.registry().forgetOld(now);
+    m_replicas.registry().removeExpired(now);
     m_replicas.forgetEnded();
     m_crashes.dropRefuted(m_replicas.registry(), now);
     selectEnginesIfDue(now);
@@ -160,7 +160,8 @@
 void ForwardLogic::on(const StageChange& event, Instant now)
 {
     if (m_replicas.registry().changeStage(event, now))
-        m_effects.push_back(Note { EventCode::StageChanging, {}, event.id + " for " + std::to_string(event.lasts / 1ms) + " ms at most" });
+        m_effects.push_back(
+            LogEvent { EventCode::StageChanging, {}, event.id + " for " + std::to_string(event.lasts / 1ms) + " ms at most" });
 }
 
 // --- Replicas that restart --------------------------------------------------------------------------------------
@@ -206,7 +207,7 @@
     if (flow.stage == Flow::Stage::Running)
         return;
     m_effects.push_back(CancelCall { flow.id, flow.attempt });
-    m_effects.push_back(Note { EventCode::RequestRetried, flow.id, toString(flow.replica) + " has restarted" });
+    m_effects.push_back(LogEvent { EventCode::RequestRetried, flow.id, toString(flow.replica) + " has restarted" });
     endCall(flow, CallOutcome::Abandoned, now);
     if (flow.stage == Flow::Stage::Reserving) {
         endSidecarReservation(flow, false);
@@ -271,7 +272,7 @@
     flow.service = pickService(*flow.route);
     flow.lastEventId = request.resumeAfter;
     m_budget.countRequest(flow.service, now);
-    m_effects.push_back(Note { EventCode::RequestReceived, flow.id,
+    m_effects.push_back(LogEvent { EventCode::RequestReceived, flow.id,
         flow.route->name + " document " + std::to_string(m_table->version()) + " tokens " + std::to_string(request.promptTokens) + "+"
             + std::to_string(request.outputTokens) + " expected " + std::to_string(expectedTokensOf(flow)) + " left "
             + std::to_string((flow.deadline - now) / 1ms) + " ms fingerprint " + toString(request.fingerprint)
@@ -451,7 +452,7 @@
         + " tokens " + std::to_string(load.tokens);
     if (flow.stage == Flow::Stage::Running && flow.reservationAttempts)
         text += " places asked " + std::to_string(flow.reservationAttempts);
-    m_effects.push_back(Note { code, flow.id, std::move(text) });
+    m_effects.push_back(LogEvent { code, flow.id, std::move(text) });
 }
 
 // --- Shutdown of this process -----------------------------------------------------------------------------------
@@ -562,7 +563,7 @@
     m_effects.push_back(CancelCall { flow.id, flow.attempt });
     endCall(flow, CallOutcome::Failed, now);
     ++flow.runs;
-    m_effects.push_back(Note { EventCode::RequestRetried, flow.id, "no answer from " + toString(flow.replica) + " yet" });
+    m_effects.push_back(LogEvent { EventCode::RequestRetried, flow.id, "no answer from " + toString(flow.replica) + " yet" });
     if (!send(flow, now))
         internalError("the replica chosen for a retry is no longer available");
 }
--- a/src/request/forward/ForwardLogic.h
+++ b/src/request/forward/ForwardLogic.h
@@ -79,7 +79,7 @@
     [[nodiscard]] std::size_t requests() const { return m_flows.size(); }
     [[nodiscard]] const ReplicaTable& replicas() const { return m_replicas; }
     /// Retries that the budget still allows in the current window, by service.
-    [[nodiscard]] std::map<std::string, double> retryBudget(Instant now) { return m_budget.leftByService(now); }
+    [[nodiscard]] std::map<std::string, double> retryBudget(Instant now) { return m_budget.remainingByService(now); }
     [[nodiscard]] AccountQuotas& quotas() { return m_quotas; }
     /// Number of requests that were refused because their key is missing or belongs to no account.
     [[nodiscard]] std::uint64_t refusedKeys() const { return m_refusedKeys; }
@@ -105,8 +105,8 @@
     void on(const forward::PrefillFailed&, Instant);
     void on(const forward::DocumentReceived&, Instant);
     void on(const forward::DocumentConfirmed&, Instant);
-    void on(const Announced&, Instant);
-    void on(const Withdrawn&, Instant);
+    void on(const RelayedAnnouncement&, Instant);
+    void on(const ReplicaWithdrawn&, Instant);
     void on(const RegistryHeartbeat&, Instant);
     void on(const StageChange&, Instant);
     void on(const forward::ControllerConnected&, Instant);
@@ -116,8 +116,8 @@
     void on(const forward::Tick&, Instant);
 
     // The subset of engines that this gateway uses, and the connections to their sidecars (ForwardEngines.cpp).
-    bool apply(const Announced&, Instant);
-    bool apply(const Withdrawn&, Instant);
+    bool apply(const RelayedAnnouncement&, Instant);
+    bool apply(const ReplicaWithdrawn&, Instant);
     void fetchRegistry(Instant);
     void selectEngines(Instant);
     void selectEnginesIfDue(Instant);
--- a/src/request/forward/ForwardReservations.cpp
+++ b/src/request/forward/ForwardReservations.cpp
@@ -33,7 +33,7 @@
 bool ForwardLogic::enqueueForReservation(Flow& flow, Instant now)
 {
     const auto* rule = engineRule(flow);
-    if (!rule || rule->engine.placeHold <= Duration::zero() || !flow.request.promptTokens)
+    if (!rule || rule->engine.reservationTimeout <= Duration::zero() || !flow.request.promptTokens)
         return false;
     // Without any decode replica there is nothing to wait for.
     if (!m_replicas.hasReady(flow.service, UpstreamKind::Decode))
@@ -77,7 +77,7 @@
         m_effects.push_back(ReserveAtSidecar { room->sidecar, flow.id, flow.attempt, flow.request.promptTokens, expectedTokensOf(flow),
             flow.request.outputTokens, engine.slots });
     } else {
-        auto validFor = std::min(engine.placeHold, maxReservationLifetime);
+        auto validFor = std::min(engine.reservationTimeout, maxReservationLifetime);
         m_effects.push_back(ReserveAtReplica { flow.id, flow.attempt, choice.run, choice.address, reservedTokensOf(flow), validFor });
     }
     scheduleCheck(flow);
@@ -97,7 +97,7 @@
 
 void ForwardLogic::on(const EngineCapacityReported& event, Instant)
 {
-    bool hasIncreased = m_replicas.rooms().tell(event.address, event.room);
+    bool hasIncreased = m_replicas.rooms().update(event.address, event.room);
     m_shouldAdmit = m_shouldAdmit || (hasIncreased && m_queue.size());
 }
 
@@ -187,7 +187,7 @@
 bool ForwardLogic::prefill(Flow& flow, Instant now)
 {
     const auto* rule = engineRule(flow);
-    if (!rule || rule->engine.promptHold <= Duration::zero() || !flow.request.promptTokens)
+    if (!rule || rule->engine.kvRetention <= Duration::zero() || !flow.request.promptTokens)
         return false;
     ReplicaTable::Criteria criteria;
     criteria.service = flow.service;
@@ -199,7 +199,7 @@
     criteria.maxCalls = callLimit(rule);
     // A refused prefill counts as a retry. After a restart of the whole site, the gateways know many replicas that have restarted under
     // other ids. Each gateway finds that out for each of them by a refusal, and hundreds of requests are refused twice.
-    criteria.excludeOverdue = m_budget.left(flow.service, now) < 1;
+    criteria.excludeOverdue = m_budget.remaining(flow.service, now) < 1;
     auto choice = m_replicas.choose(criteria, flow.triedPrefillReplicas, now);
     if (!choice)
         return false;
@@ -224,13 +224,13 @@
     if (!flow)
         return;
     endCall(*flow, CallOutcome::Served, now);
-    m_engineLoad.noteRead(flow->service, flow->request.promptTokens, now - flow->sentAt);
-    m_effects.push_back(Note {
+    m_engineLoad.recordPrefill(flow->service, flow->request.promptTokens, now - flow->sentAt);
+    m_effects.push_back(LogEvent {
         EventCode::PrefillFinished, flow->id, toString(flow->replica) + " after " + std::to_string((now - flow->sentAt) / 1ms) + " ms" });
     flow->prefillReplica = flow->replica;
     flow->prefillReplicaAddress = flow->replicaAddress;
     flow->kvSource = KvCacheSource { flow->replica, flow->replicaAddress, event.handle };
-    flow->kvSourceExpiresAt = now + engineRule(*flow)->engine.promptHold;
+    flow->kvSourceExpiresAt = now + engineRule(*flow)->engine.kvRetention;
     runOrFail(*flow, now);
 }
 
@@ -244,7 +244,7 @@
     // the second of two refusals, and also the first one when there was no budget for another.
     if (event.wasNotAccepted)
         m_budget.charge(flow->service, now);
-    bool isWithinBudget = m_budget.left(flow->service, now) >= 0;
+    bool isWithinBudget = m_budget.remaining(flow->service, now) >= 0;
     retryPrefillOrRun(*flow, event.wasNotAccepted && isWithinBudget && flow->triedPrefillReplicas.size() < maxPrefillReplicas, now);
 }
 
--- a/src/request/forward/ReplicaTable.cpp
+++ b/src/request/forward/ReplicaTable.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 double ReplicaTable::costOf(
-    const ReplicaRegistry::Entry& entry, const Load& load, const EngineRooms::Room* room, const Criteria& criteria) const
+    const ReplicaRegistry::Entry& entry, const Load& load, const EngineHeadroomTable::Headroom* room, const Criteria& criteria) const
 {
     const auto& announcement = entry.announcement;
     double cost = 0;
--- a/src/request/forward/ReplicaTable.h
+++ b/src/request/forward/ReplicaTable.h
@@ -11,7 +11,7 @@
  */
 #pragma once
 
-#include "request/engine/EngineRooms.h"
+#include "request/engine/EngineHeadroomTable.h"
 #include "request/engine/EngineSubset.h"
 #include "request/fleet/ReplicaRegistry.h"
 
@@ -93,7 +93,7 @@
     void noteFull(const ReplicaRun&, Instant until);
     void clearFull(const ReplicaRun& run) { noteFull(run, {}); }
     /// The free KV memory of engines, as reported by their sidecars.
-    EngineRooms& rooms() { return m_rooms; }
+    EngineHeadroomTable& rooms() { return m_rooms; }
     /// Whether exactly this run accepts work.
     [[nodiscard]] bool isReady(const ReplicaRun&) const;
     /// Drops the load data of runs that have ended, except those with calls in progress.
@@ -105,14 +105,14 @@
 
 private:
     [[nodiscard]] static bool serves(const Announcement&, const std::string& service, UpstreamKind);
-    [[nodiscard]] double costOf(const ReplicaRegistry::Entry&, const Load&, const EngineRooms::Room*, const Criteria&) const;
+    [[nodiscard]] double costOf(const ReplicaRegistry::Entry&, const Load&, const EngineHeadroomTable::Headroom*, const Criteria&) const;
     [[nodiscard]] bool isSuspect(const ReplicaRegistry::Entry&, const Load&, Instant now) const;
 
     std::string m_zone;
     std::mt19937_64 m_random;
     ReplicaRegistry m_registry;
     std::map<ReplicaRun, Load> m_loads;
-    EngineRooms m_rooms;
+    EngineHeadroomTable m_rooms;
     EngineSubset m_subset;
     Instant m_controllerHeardAt;
 };
--- a/test/correctness/ForwardTest.cpp
+++ b/test/correctness/ForwardTest.cpp
@@ -203,7 +203,7 @@
     Bench bench;
     bench.serve().replica("a").replica("b");
     bench.replica("a", UpstreamKind::Plain, 5, ReplicaState::Draining).replica("a", UpstreamKind::Plain, 4);
-    bench.post(Withdrawn { "b" });
+    bench.post(ReplicaWithdrawn { "b" });
     bench.replica("b", UpstreamKind::Plain, 9);
     bench.submit("/once/x");
     CHECK(bench.only<Refuse>().error.code == ResultCode::NoUpstream);
@@ -491,7 +491,7 @@
         auto first = bench.run(id);
         CHECK(first.cacheAddress.empty());
         if (!isPrefillReplicaReady)
-            bench.post(Withdrawn { "p" });
+            bench.post(ReplicaWithdrawn { "p" });
         bench.post(CallFailed { id, first.attempt, true, "reset" });
         auto second = bench.only<Send>();
         CHECK(!second.source);
@@ -972,7 +972,7 @@
     auto prefillReplica = first.source->replica;
     bench.restart("p", UpstreamKind::Prefill);
     CHECK((bench.only<DropConnections>().replica == prefillReplica));
-    CHECK(bench.effects<Note>().front().code == EventCode::UpstreamRestarted);
+    CHECK(bench.effects<LogEvent>().front().code == EventCode::UpstreamRestarted);
     bench.streamHead(first);
     bench.post(AnswerBody { id, first.attempt, "id: 1\ndata: a\n\n" });
     bench.post(CallFailed { id, first.attempt, true, "reset" });
@@ -987,12 +987,12 @@
     bench.serve().restart("a");
     bench.submit("/once/x");
     auto former = bench.only<Send>().replica;
-    bench.post(Withdrawn { "a", former.start });
+    bench.post(ReplicaWithdrawn { "a", former.start });
     bench.submit("/once/x");
     CHECK(bench.only<Refuse>().error.code == ResultCode::NoUpstream);
     bench.restart("a");
     bench.replica("a", UpstreamKind::Plain, 99, ReplicaState::Draining, former.start);
-    bench.post(Withdrawn { "a", former.start });
+    bench.post(ReplicaWithdrawn { "a", former.start });
     bench.submit("/once/x");
     CHECK(former.isBefore(bench.only<Send>().replica));
 }
@@ -1014,7 +1014,7 @@
         announcement.zone = "zone-1";
         announcement.slots = 6;
         announcement.kind = UpstreamKind::Prefill;
-        bench.post(Announced { announcement, ReplicaRegistry::overdueAfter + 100ms });
+        bench.post(RelayedAnnouncement { announcement, ReplicaRegistry::overdueAfter + 100ms });
     }
     auto allowed = bench.logic().retryBudget(bench.now)["engine"];
     int refused = 0;
@@ -1076,7 +1076,7 @@
         CHECK((reported.report.crashes[0].run() == send.replica));
         CHECK(reported.report.crashes[0].ranFor == 100ms);
         CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 502);
-        bench.post(Withdrawn { send.replica.id, {} });
+        bench.post(ReplicaWithdrawn { send.replica.id, {} });
         bench.now += 400ms;
     }
     bench.submit("/once/x", {}, crashing);
@@ -1099,7 +1099,7 @@
     bench.submit("/once/x", {}, crashing);
     CHECK(bench.effects<Send>().size() == 1);
     bench.post(crashReport(3));
-    CHECK(bench.effects<Note>().back().code == EventCode::RequestCrashesReplicas);
+    CHECK(bench.effects<LogEvent>().back().code == EventCode::RequestCrashesReplicas);
     bench.submit("/stream/x", {}, crashing);
     CHECK(bench.effects<Send>().empty());
     CHECK(bench.effects<ReserveAtReplica>().empty());
