--- a/src/request/forward/ForwardAccounts.cpp
+++ b/src/request/forward/ForwardAccounts.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of ForwardLogic that is about client accounts: whose request it is, and whether the account may still ask for it.
+ * The part of ForwardLogic for client accounts: authentication and quotas.
  */
 #include "request/fleet/RequestFingerprint.h"
 #include "request/forward/ForwardLogic.h"
@@ -10,52 +10,52 @@
 
 using namespace forward;
 
-/// Finds the account of the key that the caller shows, by the document in force when the request begins. \returns false if the request
-/// was refused.
-bool ForwardLogic::identify(Flow& flow, Instant now)
+/// Looks up the account of the caller's key in the document that is in effect when the request begins. \returns false if the request was
+/// refused.
+bool ForwardLogic::authenticate(Flow& flow, Instant now)
 {
-    auto& ask = flow.ask;
+    auto& request = flow.request;
     if (!flow.table->hasAccounts()) {
-        // Nobody says whose keys these are, so each stands for itself.
-        ask.fingerprint = fingerprintForAccount(ask.fingerprint, ask.key ? ask.key->hex() : "");
+        // Without accounts, each key counts as an account of its own.
+        request.fingerprint = fingerprintForAccount(request.fingerprint, request.key ? request.key->hex() : "");
         return true;
     }
-    flow.account = ask.key ? flow.table->account(*ask.key) : nullptr;
+    flow.account = request.key ? flow.table->account(*request.key) : nullptr;
     if (!flow.account && !flow.route->isPublic) {
-        // A gateway that hears no controller may only not have heard of the key yet, and 401 is final for a caller.
+        // A gateway without contact to a controller may not know a new key yet, and callers don't retry after a 401.
         bool mayHaveMissedIt = !m_quotas.hasContact(now);
         ++m_refusedKeys;
-        auto shown = ask.key ? "the key " + ask.key->shortHex() + " is no account's" : std::string("no key is shown");
-        auto code = mayHaveMissedIt && ask.key ? ResultCode::ConfigUnavailable : ResultCode::UnknownAccount;
-        refuse(flow, code, shown, now);
+        auto reason = request.key ? "the key " + request.key->shortHex() + " belongs to no account" : std::string("no key was presented");
+        auto code = mayHaveMissedIt && request.key ? ResultCode::ConfigUnavailable : ResultCode::UnknownAccount;
+        refuse(flow, code, reason, now);
         return false;
     }
-    ask.fingerprint = fingerprintForAccount(ask.fingerprint, flow.account ? flow.account->name : "");
+    request.fingerprint = fingerprintForAccount(request.fingerprint, flow.account ? flow.account->name : "");
     return true;
 }
 
-/// Requests that wait for an engine while their caller's key is taken away would run for a caller that has no account any more.
-void ForwardLogic::refuseRevoked(Instant now)
+/// Refuses requests that have not been sent yet and whose key has been revoked, so that they don't run without an account.
+void ForwardLogic::refuseRevokedKeys(Instant now)
 {
     if (!m_table || !m_table->hasAccounts())
         return;
     std::set<RequestId> ids;
     for (const auto& [id, flow] : m_flows) {
-        bool isRevoked = flow.account && !m_table->account(*flow.ask.key);
+        bool isRevoked = flow.account && !m_table->account(*flow.request.key);
         if (isRevoked && !flow.sends)
             ids.insert(id);
     }
     for (const auto& id : ids) {
         auto& flow = m_flows.at(id);
         abandonCall(flow, now);
-        refuse(flow, ResultCode::UnknownAccount, "the key " + flow.ask.key->shortHex() + " was taken away", now);
+        refuse(flow, ResultCode::UnknownAccount, "the key " + flow.request.key->shortHex() + " was revoked", now);
     }
 }
 
-/// The account's rank goes before the route's.
+/// The rank of the account, if it has one, overrides that of the route.
 std::uint32_t ForwardLogic::rankOf(const Flow& flow) { return flow.account && flow.account->rank ? *flow.account->rank : flow.route->rank; }
 
-/// What a replica is told of whose request it is; nothing where the document has no accounts.
+/// The account name to send to the replica; nothing if the document has no accounts.
 std::optional<std::string> ForwardLogic::accountOf(const Flow& flow)
 {
     if (!flow.table->hasAccounts())
@@ -65,7 +65,7 @@
 
 // --- Quotas -----------------------------------------------------------------------------------------------------
 
-void ForwardLogic::takeQuotaRules(Instant now)
+void ForwardLogic::applyQuotaRules(Instant now)
 {
     std::map<std::string, QuotaRule> rules;
     if (const auto& accounts = m_table->document().accounts) {
@@ -75,49 +75,50 @@
     m_quotas.setRules(rules, now);
 }
 
-/// What the request counts as, in the unit of its account's quota: a request, or the tokens that its caller states.
-double ForwardLogic::amountOf(const Flow& flow)
+/// The request's cost in the unit of its account's quota: one request, or the tokens that its caller states.
+double ForwardLogic::quotaCostOf(const Flow& flow)
 {
     const auto& quota = flow.account->quota;
     if (quota.unit == QuotaRule::Unit::Requests)
         return 1;
-    return flow.ask.hasTokenCounts ? flow.ask.promptTokens + flow.ask.outputTokens : quota.defaultTokens;
+    return flow.request.hasTokenCounts ? flow.request.promptTokens + flow.request.outputTokens : quota.defaultTokens;
 }
 
-/// Refuses a request beyond its account's quota, before a replica or what others wait for is touched. \returns false if it did.
-bool ForwardLogic::charge(Flow& flow, Instant now)
+/// Charges the request to its account's quota, before any shared resource is used. \returns false if it exceeds the quota and was refused.
+bool ForwardLogic::chargeQuota(Flow& flow, Instant now)
 {
     if (!flow.account)
         return true;
-    auto amount = amountOf(flow);
-    auto verdict = m_quotas.admit(flow.account->name, amount, now);
-    if (verdict.isAdmitted) {
-        flow.charged = amount;
+    auto amount = quotaCostOf(flow);
+    auto decision = m_quotas.admit(flow.account->name, amount, now);
+    if (decision.isAdmitted) {
+        flow.chargedQuota = amount;
         return true;
     }
     auto& quota = m_quotas.accounts().at(flow.account->name);
     auto lastTotalAt = quota.lastTotalAt();
-    auto heard = lastTotalAt ? "told " + std::to_string((now - *lastTotalAt) / 1ms) + " ms ago" : std::string("never told");
+    auto totalsAge
+        = lastTotalAt ? "totals received " + std::to_string((now - *lastTotalAt) / 1ms) + " ms ago" : std::string("no totals received");
     refuseUntil(flow, ResultCode::AccountRateLimit,
-        "account " + flow.account->name + " asks for " + std::to_string(std::llround(amount)) + " and has "
+        "account " + flow.account->name + " requests " + std::to_string(std::llround(amount)) + " and has "
             + std::to_string(std::llround(quota.remaining(now))) + " left of " + std::to_string(std::llround(quota.rule().perSecond))
-            + " a second, " + heard,
-        verdict.retryAfter, now);
+            + " per second, " + totalsAge,
+        decision.retryAfter, now);
     return false;
 }
 
-/// What has surely not run is no use of the quota: a caller that was refused for another reason loses nothing of it.
-void ForwardLogic::giveBackCharge(Flow& flow, ResultCode code, Instant now)
+/// Refunds a request that certainly has not run: a refusal for another reason doesn't use up quota.
+void ForwardLogic::refundQuota(Flow& flow, ResultCode code, Instant now)
 {
     auto status = httpStatusOf(code);
     bool hasNotRun = status == 503 || status == 429 || status == 401 || !flow.sends;
-    if (auto charged = std::exchange(flow.charged, 0); charged > 0 && hasNotRun)
-        m_quotas.refund(flow.account->name, charged, now);
+    if (auto chargedQuota = std::exchange(flow.chargedQuota, 0); chargedQuota > 0 && hasNotRun)
+        m_quotas.refund(flow.account->name, chargedQuota, now);
 }
 
 void ForwardLogic::on(const QuotaTotalsReceived& event, Instant now) { m_quotas.take(event.controller, event.totals, now); }
 
-void ForwardLogic::reportUse(Instant now)
+void ForwardLogic::reportQuotaUsage(Instant now)
 {
     if (auto report = m_quotas.report(now))
         m_effects.push_back(ReportQuotaUsage { std::move(*report) });
--- a/src/request/forward/ForwardCrashes.cpp
+++ b/src/request/forward/ForwardCrashes.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of ForwardLogic that is about requests which crash the replicas that run them.
+ * The part of ForwardLogic for requests that crash the replicas which run them (CrashTracker).
  */
 #include "request/forward/ForwardLogic.h"
 
@@ -7,25 +7,29 @@
 
 using namespace forward;
 
-/// The connection of the flow's call has ended without a whole answer. One that leaves closes its connections too.
+/// Records that the connection of the flow's call was closed before the answer was complete. A draining replica also closes its
+/// connections, so that is not counted as a crash.
 void ForwardLogic::noteCrash(const Flow& flow, Instant now)
 {
     const auto* entry = m_replicas.registry().find(flow.replica);
     bool isLeaving = entry && entry->announcement.state == ReplicaState::Draining;
-    auto fingerprint = flow.ask.fingerprint;
+    auto fingerprint = flow.request.fingerprint;
     if (isLeaving || fingerprint == RequestFingerprint())
         return;
-    auto news = m_crashes.noteCrash(fingerprint, flow.replica, now - flow.sentAt, now);
-    if (news.isEmpty())
+    auto changes = m_crashes.noteCrash(fingerprint, flow.replica, now - flow.sentAt, now);
+    if (changes.isEmpty())
         return;
-    tellCrashes(std::nullopt, std::move(news));
-    noteIfRefused(fingerprint, now);
+    reportCrashes(std::nullopt, std::move(changes));
+    recordIfRefused(fingerprint, now);
 }
 
-void ForwardLogic::noteServed(const Flow& flow, Instant now) { tellCrashes(std::nullopt, m_crashes.noteServed(flow.ask.fingerprint, now)); }
+void ForwardLogic::noteServed(const Flow& flow, Instant now)
+{
+    reportCrashes(std::nullopt, m_crashes.noteServed(flow.request.fingerprint, now));
+}
 
-/// \param controller nothing: all of them.
-void ForwardLogic::tellCrashes(std::optional<PeerId> controller, CrashReport report)
+/// \param controller the receiver; nothing: all controllers.
+void ForwardLogic::reportCrashes(std::optional<PeerId> controller, CrashReport report)
 {
     if (!report.isEmpty())
         m_effects.push_back(ReportCrashes { controller, std::move(report) });
@@ -33,30 +37,30 @@
 
 bool ForwardLogic::crashesReplicas(const Flow& flow, Instant now) const
 {
-    return m_crashes.statusOf(flow.ask.fingerprint, now) == CrashTracker::Status::Refused;
+    return m_crashes.statusOf(flow.request.fingerprint, now) == CrashTracker::Status::Refused;
 }
 
-/// It may have run, under another id, so this is no "not run"; nor is there a time at which to come back.
+/// An earlier request with the same fingerprint may have run, so the answer doesn't say "not run", and it has no Retry-After.
 void ForwardLogic::refuseAsCrashing(Flow& flow, Instant now)
 {
     refuse(flow, ResultCode::CrashesReplicas, CrashTracker::refusalReason, now);
 }
 
-void ForwardLogic::noteIfRefused(RequestFingerprint fingerprint, Instant now)
+void ForwardLogic::recordIfRefused(RequestFingerprint fingerprint, Instant now)
 {
-    if (m_crashes.statusOf(fingerprint, now) != CrashTracker::Status::Refused || !m_newlyRefused.insert(fingerprint).second)
+    if (m_crashes.statusOf(fingerprint, now) != CrashTracker::Status::Refused || !m_newCrashFingerprints.insert(fingerprint).second)
         return;
     m_effects.push_back(LogEvent { EventCode::RequestCrashesReplicas, {}, m_crashes.text(fingerprint) });
 }
 
-/// A request that waits here while others like it have crashed replicas would crash one more.
-void ForwardLogic::refuseNewlyKnown(Instant now)
+/// Refuses the requests whose fingerprint was refused in this step and that have not run yet: each would crash another replica.
+void ForwardLogic::refuseNewCrashFingerprints(Instant now)
 {
-    auto refused = std::exchange(m_newlyRefused, {});
+    auto refused = std::exchange(m_newCrashFingerprints, {});
     std::vector<RequestId> ids;
     for (const auto& [id, flow] : m_flows) {
-        bool hasRun = flow.hasBegun || (flow.isCalling && flow.stage == Flow::Stage::Running);
-        if (refused.contains(flow.ask.fingerprint) && !hasRun)
+        bool hasRun = flow.hasStreamStarted || (flow.isCalling && flow.stage == Flow::Stage::Running);
+        if (refused.contains(flow.request.fingerprint) && !hasRun)
             ids.push_back(id);
     }
     for (const auto& id : ids) {
@@ -68,15 +72,15 @@
 
 void ForwardLogic::on(const ControllerConnected& event, Instant now)
 {
-    // The controller may have started again and know nothing.
-    tellCrashes(event.controller, m_crashes.describeAll(CrashTracker::Status::Unknown, now));
+    // The controller may have restarted and lost what it knew.
+    reportCrashes(event.controller, m_crashes.describeAll(CrashTracker::Status::Unknown, now));
 }
 
 void ForwardLogic::on(const CrashesReported& event, Instant now)
 {
-    auto news = m_crashes.take(event.report, now);
-    for (const auto& crash : news.crashes)
-        noteIfRefused(crash.request, now);
+    auto changes = m_crashes.take(event.report, now);
+    for (const auto& crash : changes.crashes)
+        recordIfRefused(crash.request, now);
 }
 
 } // namespace wrenhinge
--- a/src/request/forward/ForwardLogic.h
+++ b/src/request/forward/ForwardLogic.h
@@ -1,16 +1,16 @@
 /** \file
- * The decisions of a gateway that calls upstreams itself, without sidecars: routes, places, resends, refuses and streams.
+ * The decision logic of a gateway that calls upstreams itself: routing, reservations, retries, refusals and streams.
  *
- * A state machine without I/O. What it holds to:
- * - a call that may have run is sent again only if the route allows that, within the route's attempts and the retry budget;
- *   "not run" is said only if every send of the request is known not to have run;
- * - a whole answer is gathered before it is passed on, so that one which breaks off can still be replaced; a stream is passed
- *   on event by event, and goes on at another replica after the last whole event where the route allows it;
- * - a request that crashes the replicas which run it is refused, at whatever gateway it comes (CrashTracker);
- * - where the document has accounts, a request runs only for the account whose key its caller shows;
- * - an account that has used up its quota is refused before anything else is touched;
- * - told to stop, it refuses at once a stream that might be cut when the process ends (StreamForecast);
- * - at the route's timeout, or when the caller's patience ends, the caller has a final answer and the replica is released.
+ * A state machine without I/O. It guarantees:
+ * - A call that may have run is sent again only if the route allows it, within the route's attempts and the retry budget. The caller
+ *   is told "not run" only if every send of the request is known not to have run.
+ * - An answer that is no stream is buffered completely before it is passed on, so that an incomplete one can still be replaced. A
+ *   stream is passed on event by event, and resumes at another replica after the last complete event if the route allows it.
+ * - A request that crashes the replicas which run it is refused, whichever gateway receives it (CrashTracker).
+ * - If the document has accounts, a request runs only for the account whose key its caller presents.
+ * - A request of an account that has used up its quota is refused before any other resource is used.
+ * - While the process shuts down, a stream that might outlive it is refused at once (StreamForecast).
+ * - At the route's timeout or the caller's timeout, whichever is earlier, the caller has a final answer and the replica is released.
  */
 #pragma once
 
@@ -42,29 +42,31 @@
         std::string zone;
         std::uint64_t seed = 1;
         RetryBudgetSettings budget;
-        std::string name {}; ///< Of this gateway; stays over restarts.
+        std::string name {}; ///< Of this gateway; the same after a restart.
         QuotaSettings quotas {};
     };
 
-    /// A document that no controller could confirm is used all the same after this long: a cut-off site serves on.
+    /// A document that no controller has confirmed takes effect after this long, so that a site that is cut off continues to serve.
     static constexpr Duration unconfirmedDocumentDelay = 1500ms;
-    /// A request that comes before any document waits for one this long, and a quarter of its caller's patience at most. After a
-    /// power loss of a whole site the gateways that start first are asked 0.2 to 0.6 s before the controllers have a leader; a
-    /// refusal with a pause made all of these late, and a longer wait would let those be late that could have come back.
+    /// A request that arrives before any document waits for one this long, but at most a quarter of its caller's timeout. After a power
+    /// loss of a whole site, the first gateways receive requests 0.2 to 0.6 s before the controllers have a leader. Refusing these
+    /// requests with a Retry-After made all of them late; a longer wait would make those late that could have been retried in time.
     static constexpr Duration maxDocumentWait = 500ms;
-    /// How busy the engines are is told to the controllers this often: several times within a change of stage, which takes seconds.
+    /// Interval of load reports to the controllers: several within the time of a stage change, which takes seconds.
     static constexpr Duration loadReportInterval = 1s;
-    /// The engines that are used are chosen anew this often, so that one that fell silent is followed by another.
+    /// Interval at which the subset of engines is selected again, so that an engine that stopped announcing itself is replaced.
     static constexpr Duration engineSelectionInterval = 1s;
-    /// An engine that is used no more keeps its link for this long: as long as a stream of 14 s that was admitted there may go on. Without
-    /// the link its sidecar would take what is reserved there for free, and would not hear how long the answer became.
+    /// The connection to the sidecar of an engine that left the subset is kept for this long: longer than a stream of 14 s that was
+    /// admitted there can take. Without the connection, the sidecar would treat the stream's reservation as free and would not learn
+    /// the length of its answer.
     static constexpr Duration linkRetention = 15s;
-    /// The part of its share of a replica's connections that a gateway uses, since gateways come and go while the others still count
-    /// with the former number, and a call that gives something back needs a connection too.
+    /// The part of its share of a replica's connections that a gateway uses. The rest allows for gateways that still divide by an
+    /// earlier number of gateways, and for calls that release a reservation or KV cache, which need a connection too.
     static constexpr double usableConnectionShare = 0.8;
-    /// When callers that are refused for want of room may come back at the soonest.
+    /// Shortest Retry-After for requests that are refused because no decode replica has capacity, before it is capped to a third of the
+    /// caller's remaining time.
     static constexpr Duration minOverloadRetryAfter = 2500ms;
-    /// Sends of one request at most, counting those that a replica did not run.
+    /// Maximum number of sends of one request, including those that a replica did not run.
     static constexpr std::uint32_t maxSends = 4;
 
     explicit ForwardLogic(Settings);
@@ -72,14 +74,14 @@
     Effects step(const forward::Event&, Instant now);
     [[nodiscard]] Instant nextWake() const;
 
-    /// Whether callers' requests can be judged: a document is in force.
+    /// Whether a routing document is in effect, so that requests can be routed.
     [[nodiscard]] bool isServing(Instant now) const;
     [[nodiscard]] std::size_t requests() const { return m_flows.size(); }
     [[nodiscard]] const ReplicaTable& replicas() const { return m_replicas; }
-    /// What may still be sent beyond first sends, by service, in this window.
+    /// Retries that the budget still allows in the current window, by service.
     [[nodiscard]] std::map<std::string, double> retryBudget(Instant now) { return m_budget.remainingByService(now); }
     [[nodiscard]] AccountQuotas& quotas() { return m_quotas; }
-    /// Requests that showed a key of no account.
+    /// Number of requests that were refused because their key is missing or belongs to no account.
     [[nodiscard]] std::uint64_t refusedKeys() const { return m_refusedKeys; }
     [[nodiscard]] std::uint64_t documentVersion() const { return m_table ? m_table->version() : 0; }
 
@@ -113,83 +115,83 @@
     void on(const forward::Stop&, Instant);
     void on(const forward::Tick&, Instant);
 
-    // Which engines are used, and the links to their sidecars (ForwardEngines.cpp).
-    bool take(const RelayedAnnouncement&, Instant);
-    bool take(const ReplicaWithdrawn&, Instant);
-    void askForRegistry(Instant);
-    void chooseEngines(Instant);
-    void chooseEnginesIfDue(Instant);
-    void linkSidecars(Instant);
-    void holdForDocument(Flow&, Instant);
-    void beginHeld(Instant);
+    // The subset of engines that this gateway uses, and the connections to their sidecars (ForwardEngines.cpp).
+    bool apply(const RelayedAnnouncement&, Instant);
+    bool apply(const ReplicaWithdrawn&, Instant);
+    void fetchRegistry(Instant);
+    void selectEngines(Instant);
+    void selectEnginesIfDue(Instant);
+    void updateSidecarLinks(Instant);
+    void waitForDocument(Flow&, Instant);
+    void beginAwaitingDocument(Instant);
     void begin(Flow&, Instant);
-    // Whose requests these are, and what their accounts may ask for (ForwardAccounts.cpp).
-    bool identify(Flow&, Instant);
-    void refuseRevoked(Instant);
-    void takeQuotaRules(Instant);
-    bool charge(Flow&, Instant);
-    void giveBackCharge(Flow&, ResultCode, Instant);
-    void reportUse(Instant);
-    [[nodiscard]] static double amountOf(const Flow&);
+    // Authentication and quotas of client accounts (ForwardAccounts.cpp).
+    bool authenticate(Flow&, Instant);
+    void refuseRevokedKeys(Instant);
+    void applyQuotaRules(Instant);
+    bool chargeQuota(Flow&, Instant);
+    void refundQuota(Flow&, ResultCode, Instant);
+    void reportQuotaUsage(Instant);
+    [[nodiscard]] static double quotaCostOf(const Flow&);
     [[nodiscard]] static std::uint32_t rankOf(const Flow&);
     [[nodiscard]] static std::optional<std::string> accountOf(const Flow&);
     Flow* current(const RequestId&, Attempt);
     bool send(Flow&, Instant);
     void startCall(Flow&, const ReplicaTable::Choice&, Instant);
-    void noteCall(Flow&);
+    void logCall(Flow&);
     void runOrFail(Flow&, Instant);
-    // Places and prefill (ForwardPlaces.cpp).
-    bool waitForPlace(Flow&, Instant);
+    // Reservations and prefill (ForwardReservations.cpp).
+    bool enqueueForReservation(Flow&, Instant);
     void admitWaiting(Instant);
-    void scheduleReport(Instant);
+    void scheduleLoadReport(Instant);
     void reportLoad(Instant);
-    void takePlace(Flow&, const ReplicaTable::Choice&, Instant);
-    void waitAgain(Flow&);
-    void endReservation(Flow&, bool isComplete, bool hasFailed = false);
-    void refuseLeaving(Instant);
-    [[nodiscard]] Duration returnAfterSurge(const Flow&, Instant);
+    void requestReservation(Flow&, const ReplicaTable::Choice&, Instant);
+    void requeue(Flow&);
+    void endSidecarReservation(Flow&, bool isComplete, bool hasFailed = false);
+    void refuseExpired(Instant);
+    [[nodiscard]] Duration overloadRetryAfter(const Flow&, Instant);
     bool prefill(Flow&, Instant);
-    void prefillElsewhere(Flow&, bool mayBeAsked, Instant);
-    bool prefillAgain(Flow&, Instant);
-    void takeSourceBack(Flow&);
+    void retryPrefillOrRun(Flow&, bool mayRetry, Instant);
+    bool repeatPrefill(Flow&, Instant);
+    void restoreKvSource(Flow&);
     // Requests that crash replicas (ForwardCrashes.cpp).
     void noteCrash(const Flow&, Instant);
     void noteServed(const Flow&, Instant);
-    void tellCrashes(std::optional<PeerId> controller, CrashReport);
+    void reportCrashes(std::optional<PeerId> controller, CrashReport);
     [[nodiscard]] bool crashesReplicas(const Flow&, Instant) const;
     void refuseAsCrashing(Flow&, Instant);
-    void noteIfRefused(RequestFingerprint, Instant);
-    void refuseNewlyKnown(Instant);
-    // Replicas that start again.
-    void giveUpFormerRuns(const ReplicaRun& newest, Instant);
-    void giveUpFormerRuns(Flow&, const ReplicaRun& newest, Instant);
-    void giveUpCall(Flow&, Instant);
-    void dropSource(Flow&);
-    void dropPlace(Flow&);
+    void recordIfRefused(RequestFingerprint, Instant);
+    void refuseNewCrashFingerprints(Instant);
+    // Replicas that restart.
+    void abandonFormerRuns(const ReplicaRun& newest, Instant);
+    void abandonFormerRuns(Flow&, const ReplicaRun& newest, Instant);
+    void abandonCallToFormerRun(Flow&, Instant);
+    void releaseKvSource(Flow&);
+    void releaseReservation(Flow&);
     std::optional<ReplicaTable::Choice> chooseForRun(Flow&, Instant);
     [[nodiscard]] Instant admitBy(const Flow&) const;
-    [[nodiscard]] Duration spentBefore(const Flow&) const;
-    [[nodiscard]] bool mightBeCut(const Flow&) const;
-    void refuseToBeCut(Flow&, Instant);
+    [[nodiscard]] Duration timeSpentElsewhere(const Flow&) const;
+    [[nodiscard]] bool mayOutliveProcess(const Flow&) const;
+    void refuseAsDraining(Flow&, Instant);
     bool resend(Flow&, Instant);
-    bool shed(Flow&, Instant);
-    void resendOrFail(Flow&, bool mayHaveRun, const std::string& why, Instant);
+    bool shedLoad(Flow&, Instant);
+    void resendOrFail(Flow&, bool mayHaveRun, const std::string& reason, Instant);
     [[nodiscard]] bool mayRunAgain(const Flow&) const;
     void endCall(Flow&, CallOutcome, Instant);
     void abandonCall(Flow&, Instant);
-    void passEvents(Flow&, std::string bytes, Instant);
+    void forwardEvents(Flow&, std::string bytes, Instant);
     void endStream(Flow&, Instant);
-    void refuse(Flow&, ResultCode, const std::string& why, Instant);
-    void refuseUntil(Flow&, ResultCode, const std::string& why, std::optional<Duration> retryAfter, Instant);
-    void giveUp(Flow&, Instant);
+    void refuse(Flow&, ResultCode, const std::string& reason, Instant);
+    void refuseUntil(Flow&, ResultCode, const std::string& reason, std::optional<Duration> retryAfter, Instant);
+    void timeOut(Flow&, Instant);
     void checkProgress(Flow&, Instant);
     void scheduleCheck(Flow&);
     void finish(Flow&, ResultCode, Instant);
-    [[nodiscard]] ReplicaTable::Criteria needOf(const Flow&) const;
+    [[nodiscard]] ReplicaTable::Criteria criteriaOf(const Flow&) const;
     [[nodiscard]] std::uint32_t callLimit(const ServiceRule*) const;
     [[nodiscard]] const ServiceRule* engineRule(const Flow&) const;
     [[nodiscard]] static std::uint32_t expectedTokensOf(const Flow&);
-    [[nodiscard]] static std::uint32_t tokensOf(const Flow&);
+    [[nodiscard]] static std::uint32_t reservedTokensOf(const Flow&);
     [[nodiscard]] static std::uint32_t meanTokensOf(const Flow&);
     [[nodiscard]] Duration retryAfter(const Flow&, Instant) const;
     std::string pickService(const Route&);
@@ -197,27 +199,27 @@
     Settings m_settings;
     ReplicaTable m_replicas;
     EngineLoad m_engineLoad;
-    Instant m_reportAt = Instant::max(); ///< When to tell the controllers of it.
-    RegistryFollower m_follower;
-    Instant m_enginesChosenAt; ///< The last time.
-    std::map<std::string, Instant> m_sidecarLinks; ///< By the engine's address: until when; `Instant::max()` while it is used.
+    Instant m_loadReportAt = Instant::max(); ///< Time of the next load report.
+    RegistryFollower m_registryFollower;
+    Instant m_enginesSelectedAt; ///< Time of the last selection.
+    std::map<std::string, Instant> m_sidecarLinks; ///< Engine address -> when to close the connection; `Instant::max()`: engine in use.
     SharedRetryBudget m_budget;
     AccountQuotas m_quotas;
     std::uint64_t m_refusedKeys = 0;
     std::mt19937_64 m_random;
     std::shared_ptr<const RouteTable> m_table;
     bool m_isConfirmed = false;
-    Instant m_documentAt;
-    std::vector<RequestId> m_held; ///< They wait for a document; some may have been answered or have left meanwhile.
+    Instant m_firstDocumentAt;
+    std::vector<RequestId> m_awaitingDocument; ///< Requests that wait for a document; some may have ended meanwhile.
     ReservationQueue m_queue;
-    bool m_mayAdmit = false; ///< Something has changed for those who wait.
-    Instant m_admitAt = Instant::max(); ///< When a replica that was full is asked again.
-    std::map<std::string, Duration> m_longestPatience; ///< By route: what a caller's first attempt brings.
+    bool m_shouldAdmit = false; ///< Retry admission of the queued requests at the end of this step.
+    Instant m_retryAdmissionAt = Instant::max(); ///< When to ask full replicas again.
+    std::map<std::string, Duration> m_maxCallerTimeout; ///< By route: the longest timeout seen, taken to be that of a first attempt.
     CrashTracker m_crashes;
-    std::set<RequestFingerprint> m_newlyRefused; ///< Their requests that wait are refused at the end of the step.
-    LoadShedder m_shedder; ///< Of plain services; engines' memory has its own admission.
+    std::set<RequestFingerprint> m_newCrashFingerprints; ///< Requests with these that have not run are refused at the end of the step.
+    LoadShedder m_shedder; ///< For plain services; engines have reservations.
     StreamForecast m_forecast;
-    std::optional<Instant> m_stopsAt; ///< When this process ends, once it was told to.
+    std::optional<Instant> m_shutdownAt; ///< When this process exits; set once shutdown has begun.
     std::unordered_map<RequestId, Flow> m_flows;
     std::set<std::pair<Instant, RequestId>> m_wakes;
     Effects m_effects;
--- a/test/support/ForwardBench.h
+++ b/test/support/ForwardBench.h
@@ -1,5 +1,5 @@
 /** \file
- * A ForwardLogic with a document and replicas, driven one event at a time without a network.
+ * Test fixture: a ForwardLogic with a routing document and replicas, driven one event at a time without a network.
  */
 #pragma once
 
@@ -46,7 +46,7 @@
     return document;
 }
 
-/// A logic with the document in force and the given replicas, and what it did last.
+/// A ForwardLogic, the current time, and the effects of the last event.
 class Bench {
 public:
     explicit Bench(ForwardLogic::Settings settings = { "zone-1", 1, { 0.2, 60, 10s } })
@@ -78,13 +78,13 @@
         return *this;
     }
 
-    /// The replica starts again under its id, as another run, and counts anew.
+    /// The replica restarts under the same id, as a newer run whose sequence numbers start at 1 again.
     Bench& restart(const std::string& id, UpstreamKind kind = UpstreamKind::Plain)
     {
         return replica(id, kind, 1, ReplicaState::Ready, ReplicaStart(++m_starts));
     }
 
-    /// Whether nothing is kept of runs that have ended.
+    /// Whether there is no load data of runs that have ended.
     bool knowsOnlyPresentRuns()
     {
         const auto& loads = m_logic.replicas().loads();
@@ -95,17 +95,17 @@
         const std::string& key = "")
     {
         RequestId id { PeerId(1), ++m_sequence };
-        RequestMetadata submit;
+        RequestMetadata request;
         if (!key.empty())
-            submit.key = SecretDigest::of(key);
-        submit.host = "Desk.example:8080";
-        submit.path = path;
-        submit.callerTimeout = callerTimeout;
-        submit.fingerprint = fingerprint;
-        submit.promptTokens = path.starts_with("/stream") || path.starts_with("/resumable") ? 5000 : 0;
-        submit.outputTokens = submit.promptTokens ? 800 : 0;
-        submit.hasTokenCounts = submit.promptTokens;
-        post(Submit { id, submit });
+            request.key = SecretDigest::of(key);
+        request.host = "Desk.example:8080";
+        request.path = path;
+        request.callerTimeout = callerTimeout;
+        request.fingerprint = fingerprint;
+        request.promptTokens = path.starts_with("/stream") || path.starts_with("/resumable") ? 5000 : 0;
+        request.outputTokens = request.promptTokens ? 800 : 0;
+        request.hasTokenCounts = request.promptTokens;
+        post(Submit { id, request });
         return id;
     }
 
@@ -139,29 +139,29 @@
 
     void answer(const Send& send, int status, bool wasNotRun = false, bool isOther = false, bool isGenuine = true)
     {
-        AnswerMetadata facts;
-        facts.status = status;
-        facts.wasNotRun = wasNotRun || isOther;
-        facts.isMisdirected = isOther;
-        facts.isGenuine = isGenuine;
-        post(AnswerHead { send.id, send.attempt, facts, { { "X", "y" } } });
+        AnswerMetadata metadata;
+        metadata.status = status;
+        metadata.wasNotRun = wasNotRun || isOther;
+        metadata.isMisdirected = isOther;
+        metadata.isGenuine = isGenuine;
+        post(AnswerHead { send.id, send.attempt, metadata, { { "X", "y" } } });
         post(AnswerBody { send.id, send.attempt, "body" });
         post(AnswerEnd { send.id, send.attempt });
     }
 
     void streamHead(const Send& send)
     {
-        AnswerMetadata facts;
-        facts.status = 200;
-        facts.isStream = true;
-        post(AnswerHead { send.id, send.attempt, facts, {} });
+        AnswerMetadata metadata;
+        metadata.status = 200;
+        metadata.isStream = true;
+        post(AnswerHead { send.id, send.attempt, metadata, {} });
     }
 
-    /// Takes a request to an engine through place and prefill. \returns its run.
+    /// Takes a request to an engine through reservation and prefill. \returns the call that runs it.
     Send run(const RequestId&)
     {
-        auto take = only<ReserveAtReplica>();
-        post(ReservationGranted { take.id, take.attempt, "place-1" });
+        auto reserve = only<ReserveAtReplica>();
+        post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
         auto prefill = only<Send>();
         REQUIRE(prefill.isPrefill);
         post(PrefillFinished { prefill.id, prefill.attempt, "kv-1" });
