--- a/src/process/GatewayRole.h
+++ b/src/process/GatewayRole.h
@@ -30,7 +30,7 @@
     void carryOut(gateway::AnswerData&);
     void carryOut(gateway::AnswerEnd&);
     void carryOut(gateway::AnswerError&);
-    void carryOut(gateway::AnswerBroken&);
+    void carryOut(gateway::AnswerAborted&);
     void carryOut(gateway::Finished&);
     void carryOut(gateway::Drained&);
     void carryOut(Note&);
--- a/src/request/sidecar/AdmissionLedger.cpp
+++ b/src/request/sidecar/AdmissionLedger.cpp
@@ -37,7 +37,7 @@
     entry->answer = std::move(answer);
 }
 
-void AdmissionLedger::breakOff(const std::string& key, Attempt attempt)
+void AdmissionLedger::markBroken(const std::string& key, Attempt attempt)
 {
     if (auto* entry = find(key, attempt))
         entry->state = AdmissionState::Broken;
--- a/src/request/sidecar/AdmissionLedger.h
+++ b/src/request/sidecar/AdmissionLedger.h
@@ -26,7 +26,7 @@
     /// Records how the upstream answered. Too large a body is remembered as "ran, answer not kept".
     void finish(const std::string& key, Attempt, KeptAnswer);
     /// Records that the call broke off after bytes may have reached the upstream.
-    void breakOff(const std::string& key, Attempt);
+    void markBroken(const std::string& key, Attempt);
     /// What became of the attempt. One that was never admitted is sealed by asking.
     SealReply seal(const Seal&);
 
--- a/src/request/sidecar/GatewayEvents.h
+++ b/src/request/sidecar/GatewayEvents.h
@@ -87,7 +87,7 @@
         Error error;
     };
     /// The answer broke off after its head was sent.
-    struct AnswerBroken {
+    struct AnswerAborted {
         RequestId request;
         Error error;
     };
@@ -96,7 +96,7 @@
     };
     struct Drained { };
 
-    using Effect = std::variant<Send, AnswerHead, AnswerData, AnswerEnd, AnswerError, AnswerBroken, Finished, Drained, Note>;
+    using Effect = std::variant<Send, AnswerHead, AnswerData, AnswerEnd, AnswerError, AnswerAborted, Finished, Drained, Note>;
 
 } // namespace gateway
 } // namespace wrenhinge
--- a/test/correctness/LedgerTest.cpp
+++ b/test/correctness/LedgerTest.cpp
@@ -56,12 +56,12 @@
 
 SidecarLogic plainSidecar(const Safeguards& safeguards = {})
 {
-    SidecarProfile profile;
-    profile.self = PeerId(7);
-    profile.service = "saatja";
-    profile.kind = UpstreamKind::Plain;
-    profile.safeguards = safeguards;
-    return SidecarLogic(profile);
+    SidecarOptions options;
+    options.self = PeerId(7);
+    options.service = "saatja";
+    options.kind = UpstreamKind::Plain;
+    options.safeguards = safeguards;
+    return SidecarLogic(options);
 }
 
 } // namespace
@@ -134,11 +134,11 @@
     CHECK(count<sidecar::StartCall>(effects) == 0);
     CHECK(countSent<Refused>(effects) == 1);
 
-    Safeguards without;
-    without.refusesOtherIncarnation = false;
-    auto careless = plainSidecar(without);
-    careless.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
-    CHECK(count<sidecar::StartCall>(careless.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(6), 1) }, start)) == 1);
+    Safeguards disabled;
+    disabled.refusesOtherIncarnation = false;
+    auto unguarded = plainSidecar(disabled);
+    unguarded.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
+    CHECK(count<sidecar::StartCall>(unguarded.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(6), 1) }, start)) == 1);
 }
 
 TEST_CASE("a message of a gateway that is not linked starts nothing")
