--- a/src/request/sidecar/AccountLimits.cpp
+++ b/src/request/sidecar/AccountLimits.cpp
@@ -8,7 +8,7 @@
 
     constexpr Duration concurrencyRetryAfter = 500ms;
 
-    /// An account may save up this many seconds' worth of its rate for a burst, at least one request.
+    /// Capacity of the token bucket: one second of the account's rate, at least one request.
     double burstCapacity(double ratePerSecond) { return std::max(1.0, ratePerSecond); }
 
 } // namespace
@@ -17,14 +17,14 @@
 {
     auto& usage = m_usage[account];
     if (rules.concurrency && usage.inProgress >= *rules.concurrency)
-        return Error { ResultCode::AccountConcurrencyLimit, "too many requests of this account are in progress; wait for one to end",
+        return Error { ResultCode::AccountConcurrencyLimit, "too many requests of this account are in progress; wait for one to finish",
             concurrencyRetryAfter };
     if (rules.ratePerSecond) {
         auto rate = *rules.ratePerSecond;
         refill(usage, rate, now);
         if (usage.tokens < 1) {
             auto wait = rate > 0 ? fromSeconds((1 - usage.tokens) / rate) : Duration(1h);
-            return Error { ResultCode::AccountRateLimit, "this account sends faster than its rate allows; slow down", wait };
+            return Error { ResultCode::AccountRateLimit, "the request rate of this account exceeds its limit; slow down", wait };
         }
         usage.tokens -= 1;
     }
--- a/src/request/sidecar/AccountLimits.h
+++ b/src/request/sidecar/AccountLimits.h
@@ -1,7 +1,8 @@
 /** \file
  * Limits of rate and of concurrent requests for each client account.
  *
- * One account's burst must not push out the others. A gateway counts for itself; the rules give limits a gateway.
+ * They keep the burst of one account from displacing the requests of others. Each gateway counts only its own requests;
+ * the limits in the rules apply per gateway.
  */
 #pragma once
 
@@ -15,13 +16,13 @@
 
 class AccountLimits {
 public:
-    /// Counts a request in, or says why not and when to come back. Call `leave` once for each that was let in.
+    /// Admits a request, or returns the limit that it exceeds and a retry delay. Call `release` once for each admitted request.
     Result<void> acquire(const std::string& account, const AccountRules&, Instant now);
     void release(const std::string& account);
 
 private:
     struct Usage {
-        double tokens = 0;
+        double tokens = 0; ///< Of the token bucket for the rate limit.
         Instant filledAt;
         std::uint64_t inProgress = 0;
         bool isNew = true;
--- a/src/request/sidecar/AdmissionLedger.h
+++ b/src/request/sidecar/AdmissionLedger.h
@@ -1,10 +1,11 @@
 /** \file
- * A sidecar's memory of keyed non-repeatable attempts: which were admitted, which are sealed, how they ended.
+ * A sidecar's table of non-repeatable attempts with an idempotency key: which were admitted, which are sealed, and their
+ * outcomes.
  *
- * The sidecar is the only way to its upstream, so this table alone decides whether an attempt runs. A resend through
- * another gateway first seals the earlier attempt here: if it was never admitted it can't be from now on, even if the
- * first gateway thaws and dispatches it after all; otherwise the answer is what became of it. The table dies with the
- * process: a restarted sidecar has another incarnation and refuses all that was meant for the former one.
+ * All calls to the upstream pass through its sidecar, so this table alone decides whether an attempt runs. A resend
+ * through another gateway first seals the earlier attempt here: if it was not admitted yet, it never will be, even if the
+ * first gateway resumes after a pause and dispatches it late; otherwise the reply holds its state and outcome. The table
+ * is kept in memory only: a restarted sidecar has a new incarnation and refuses dispatches addressed to an earlier one.
  */
 #pragma once
 
@@ -19,15 +20,16 @@
 public:
     explicit AdmissionLedger(std::size_t keptAnswerLimit, bool honoursSeals = true);
 
-    /// Admits the attempt unless it, a later one, or one that ran is known. \returns whether it may run.
+    /// Admits the attempt, unless this or a later attempt of the key is recorded or any attempt of it has run. \returns
+    /// whether it may run.
     bool admit(const std::string& key, Attempt);
-    /// Takes an admission back: the attempt did not reach the upstream and never will.
+    /// Revokes an admission, because the attempt did not reach the upstream and never will.
     void withdraw(const std::string& key, Attempt);
-    /// Records how the upstream answered. Too large a body is remembered as "ran, answer not kept".
+    /// Records the upstream's answer. If its body exceeds the limit, only the fact that the attempt ran is kept.
     void finish(const std::string& key, Attempt, KeptAnswer);
-    /// Records that the call broke off after bytes may have reached the upstream.
+    /// Records that the call failed after bytes may have reached the upstream.
     void markBroken(const std::string& key, Attempt);
-    /// What became of the attempt. One that was never admitted is sealed by asking.
+    /// Returns the state of the attempt. If it was never admitted, it is sealed: it can't be admitted afterwards.
     SealReply seal(const Seal&);
 
     [[nodiscard]] std::size_t size() const { return m_entries.size(); }
--- a/src/request/sidecar/DecodeAdmission.cpp
+++ b/src/request/sidecar/DecodeAdmission.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-    // Guesses for a fresh sidecar; a few requests replace them.
+    // Initial estimates of a new sidecar; the measurements of a few requests replace them.
     constexpr Duration initialTokenInterval = 20ms;
     constexpr double initialTokens = 200;
     constexpr Duration initialStart = 30ms;
     constexpr double initialStartMicrosPerToken = 10;
     constexpr double typicalPromptTokens = 2000;
     constexpr double smoothingFactor = 0.05;
-    /// A grant outlives its expected use by this factor and margin, so that an ordinary delay doesn't void it.
+    /// A grant is valid for longer than its expected use by this factor and margin, so that ordinary delays don't expire it.
     constexpr int grantLeadFactor = 2;
     constexpr Duration grantMargin = 200ms;
-    /// The part of a result's life that a plan may use up by waiting; the rest is for errors of the estimates.
+    /// Share of a result's lifetime that work may be planned to wait for a slot; the rest covers estimation errors.
     constexpr double maxWaitShareOfResultLife = 0.6;
-    /// A slot is kept for urgent work while some was seen this lately, on engines with at least so many slots.
+    /// One slot is reserved for urgent work for this long after the last urgent arrival, on engines with at least this many
+    /// slots.
     constexpr Duration urgentReservationTime = 10s;
     constexpr std::uint32_t minSlotsForReservation = 8;
 
@@ -37,8 +38,8 @@
 DecodeAdmission::SlotDemand DecodeAdmission::demandAhead(const WorkTable& table, Priority priority, Instant now) const
 {
     SlotDemand demand;
-    bool urgentIsLikely = m_urgentSeenAt && now - *m_urgentSeenAt < urgentReservationTime;
-    demand.reserved = priority == Priority::Normal && urgentIsLikely && m_slots >= minSlotsForReservation ? 1 : 0;
+    bool isUrgentExpected = m_lastUrgentArrival && now - *m_lastUrgentArrival < urgentReservationTime;
+    demand.reserved = priority == Priority::Normal && isUrgentExpected && m_slots >= minSlotsForReservation ? 1 : 0;
     for (const auto& [key, work] : table) {
         if (work.stage == WorkStage::Running)
             demand.running.push_back({ work.started, work.maxTokens, work.producedTokens });
@@ -50,8 +51,8 @@
 
 std::uint32_t DecodeAdmission::requiredCompletions(const SlotDemand& demand) const
 {
-    auto usable = m_slots - std::min(m_slots - 1, demand.reserved);
-    auto free = usable > demand.running.size() ? usable - static_cast<std::uint32_t>(demand.running.size()) : 0;
+    auto unreserved = m_slots - std::min(m_slots - 1, demand.reserved);
+    auto free = unreserved > demand.running.size() ? unreserved - static_cast<std::uint32_t>(demand.running.size()) : 0;
     return demand.ahead + 1 > free ? demand.ahead + 1 - free : 0;
 }
 
@@ -68,12 +69,12 @@
     if (probabilityOfFreeing(demand.running, model(), needed, work.leadTime + allowedWait)
         >= m_objective.threshold(toSeconds(work.leadTime) / toSeconds(meanHold())))
         return Decision::Grant;
-    // The slot is needed only when the prefill ends, and then within the slack.
+    // The slot is needed no earlier than the end of the prefill, and at most `slack` later.
     auto expected = expectedTimeToFree(demand.running, model(), needed);
     return expected > work.leadTime + slack ? Decision::Refuse : Decision::Wait;
 }
 
-void DecodeAdmission::recordUrgentArrival(Instant now) { m_urgentSeenAt = now; }
+void DecodeAdmission::recordUrgentArrival(Instant now) { m_lastUrgentArrival = now; }
 
 bool DecodeAdmission::mayStart(const WorkTable& table) const
 {
@@ -85,7 +86,7 @@
 {
     auto demand = demandAhead(table, work.priority, now);
     auto horizon = std::max(Duration::zero(), work.deadline - now);
-    // The prefill is already paid, so any better-than-even chance is worth taking.
+    // The cost of the prefill is already spent, so a probability of one half is enough.
     return probabilityOfFreeing(demand.running, model(), requiredCompletions(demand), horizon) >= 0.5;
 }
 
@@ -97,7 +98,7 @@
     auto needed = requiredCompletions(demand);
     auto running = static_cast<std::uint32_t>(demand.running.size());
     auto wait = expectedTimeToFree(demand.running, model(), std::min(needed, running));
-    // Beyond the present occupants the queue drains at the rate slots / mean hold.
+    // Once the requests that run now have completed, the queue drains at a rate of slots / mean hold time.
     if (needed > running && m_slots)
         wait += meanHold() * (needed - running) / m_slots;
     return wait;
--- a/src/request/sidecar/DecodeAdmission.h
+++ b/src/request/sidecar/DecodeAdmission.h
@@ -1,18 +1,18 @@
 /** \file
- * Who gets the slots of a decode engine, and when a prefill may begin.
+ * Admission control for the slots of a decode engine, which also decides when a prefill may start.
  *
- * A prefill's result lives under a second, so a prefill that finds no slot is thrown away. A slot that waits for its
- * prefill idles. A grant may therefore come before a slot is free, if it is likely enough that one will be when prefill and
- * transfer end. How likely follows from the one stated objective: an answer in time is worth the goodput weight G, a
- * discarded prefill costs the waste weight W. With L the lead time (prefill and transfer) and H the mean time that a
- * request holds a slot, an early grant saves L of idle slot time, worth G * L / H; if no slot comes free, with the chance
- * 1 - P, the request and its prefill are lost, G + W. So it pays if
+ * The engine keeps a prefill's result for less than a second, so a prefill that finds no slot is discarded. A slot that is
+ * kept free for its prefill idles. A grant may therefore be given before a slot is free, if the probability P that one will
+ * be free at the end of prefill and transfer is high enough. The threshold follows from the service's objective: an answer
+ * in time is worth the goodput weight G, a discarded prefill costs the waste weight W. With L the lead time (prefill and
+ * transfer) and H the mean time that a request holds a slot, an early grant saves L of idle slot time, worth G * L / H; if
+ * no slot becomes free, with probability 1 - P, the request and its prefill are lost at a cost of G + W. So the grant pays if
  *
  *     G * L / H >= (1 - P) * (G + W), that is P >= 1 - (L / H) * G / (G + W).
  *
- * Worked example: L = 0.12 s, H = 4 s, G = 3, W = 1: P must reach 0.9775. With 20 running and one claim, SlotForecast says
- * 0.92 for 0.5 s: the request waits until one slot is free, or two claims' worth of ends are nearly sure. Where prefills
- * take long beside short answers (L / H = 0.3), 0.775 is enough and slots are granted ahead.
+ * Example: with L = 0.12 s, H = 4 s, G = 3 and W = 1, P must reach 0.9775. With 20 running requests and one slot needed,
+ * SlotForecast gives 0.92 for 0.5 s: the request waits until one slot is free, or the completion of two requests is nearly
+ * certain. Where prefills are long compared with the answers (L / H = 0.3), 0.775 suffices and slots are granted early.
  */
 #pragma once
 
@@ -29,7 +29,8 @@
 struct Objective {
     double goodput = 1;
     double waste = 1;
-    /// The least chance of a slot at which a grant pays whose slot would otherwise idle for `leadShare` of a hold.
+    /// The lowest probability of a free slot at which an early grant pays. `leadShare` is L / H: the idle time that the grant
+    /// saves, as a share of the mean slot hold time.
     [[nodiscard]] double threshold(double leadShare) const
     {
         auto share = goodput + waste > 0 ? goodput / (goodput + waste) : 0.5;
@@ -45,17 +46,17 @@
 
     void setObjective(Objective objective) { m_objective = objective; }
 
-    /// Whether queued work gets its grant now, waits on, or can't be served in time any more.
+    /// Whether queued work is granted a slot now, keeps waiting, or can no longer be served in time.
     [[nodiscard]] Decision decide(const WorkTable&, const Work&, Instant now) const;
-    /// Urgent work was seen: from now on, for a while, normal work leaves a slot free for the next.
+    /// Records the arrival of urgent work, after which normal work leaves one slot free for some time.
     void recordUrgentArrival(Instant now);
-    /// Whether Ready work may start: a slot is free and nobody with a better claim is Ready.
+    /// Whether Ready work may start, that is whether a slot is free. The caller tries Ready work in order of service.
     [[nodiscard]] bool mayStart(const WorkTable&) const;
-    /// Whether work that comes with a result but without a grant is taken.
+    /// Whether to admit work that arrives with a prefill's result but without a grant from this sidecar.
     [[nodiscard]] bool mayAdmitWithoutGrant(const WorkTable&, const Work&, Instant now) const;
-    /// Predicted time until new work of this priority would find a slot.
+    /// Predicted time until new work of this priority would get a slot.
     [[nodiscard]] Duration predictedWait(const WorkTable&, Priority, Instant now) const;
-    /// How long a granted slot is kept for its prefill.
+    /// How long a granted slot is reserved for its prefill.
     [[nodiscard]] Duration grantLife(const Work&) const;
     [[nodiscard]] Duration resultLife() const { return m_resultLife; }
 
@@ -70,8 +71,8 @@
 private:
     struct SlotDemand {
         std::vector<RunningSlot> running;
-        std::uint32_t reserved = 0; ///< Slots that the new one must leave free for urgent work.
-        std::uint32_t ahead = 0; ///< Promises that are served before the new one.
+        std::uint32_t reserved = 0; ///< Slots that must stay free for urgent work.
+        std::uint32_t ahead = 0; ///< Granted and waiting work that is served before the new work.
     };
     [[nodiscard]] SlotDemand demandAhead(const WorkTable&, Priority, Instant now) const;
     [[nodiscard]] std::uint32_t requiredCompletions(const SlotDemand&) const;
@@ -80,7 +81,7 @@
     std::uint32_t m_slots;
     Duration m_resultLife;
     Objective m_objective;
-    std::optional<Instant> m_urgentSeenAt;
+    std::optional<Instant> m_lastUrgentArrival;
     LinearCost m_holdCost;
     LinearCost m_startCost;
     double m_tokenIntervalMicros;
--- a/src/request/sidecar/GatewayContext.cpp
+++ b/src/request/sidecar/GatewayContext.cpp
@@ -18,7 +18,8 @@
     bool meetsTargets(const GatewayRequest& request)
     {
         const auto& summary = request.summary;
-        // A whole answer shows no first token: it has to come when a stream within both targets would have ended.
+        // An answer that is not streamed has no visible first token: it must be complete by the time at which a stream
+        // within both targets would have ended.
         if (!request.caller.isStreamed)
             return summary.tokens > 0
                 && summary.firstToken <= request.rules.firstTokenTarget + request.rules.tokenIntervalTarget * summary.tokens;
@@ -102,7 +103,7 @@
     close(request, code, now);
 }
 
-/// An engine may crash and start again beside the same sidecar, so each crash is taken for that of another run.
+/// An engine may crash and restart while its sidecar keeps running, so the time of the crash identifies the run.
 void GatewayContext::noteCrash(const GatewayRequest& request, PeerId upstream, Instant now)
 {
     auto crashTime = static_cast<std::uint64_t>(now.time_since_epoch() / 1ms);
--- a/src/request/sidecar/GatewayContext.h
+++ b/src/request/sidecar/GatewayContext.h
@@ -1,5 +1,5 @@
 /** \file
- * What the flows of a gateway share: its tables, the requests in progress, and the list of effects being built.
+ * State shared by the flows of a gateway: its tables, the requests in progress and the effects of the current step.
  */
 #pragma once
 
@@ -20,50 +20,50 @@
 
 namespace wrenhinge {
 
-/// Where a request stands at its gateway.
+/// Phase of a request at its gateway.
 enum class RequestPhase : std::uint8_t {
     New,
-    AwaitingGrant, ///< Generation: a decode sidecar was asked for a slot.
-    Prefilling, ///< Generation: a prefill sidecar has it.
-    AwaitingDecode, ///< Generation: the decode sidecar has the prefill's result.
-    AwaitingIntent, ///< Keyed: the controllers were asked to record the intent.
-    AwaitingSeal, ///< Keyed: the sidecar of an earlier attempt was asked what became of it.
-    Dispatched, ///< Plain: a sidecar has it.
-    Answering, ///< The answer's head has come.
+    AwaitingGrant, ///< Generation: a slot was requested from a decode sidecar.
+    Prefilling, ///< Generation: sent to a prefill sidecar.
+    AwaitingDecode, ///< Generation: sent to a decode sidecar with the handle of the prefill's result; no token yet.
+    AwaitingIntent, ///< Keyed: the intent was proposed to the controllers.
+    AwaitingSeal, ///< Keyed: the sidecar of an earlier attempt was asked to seal it and report its state.
+    Dispatched, ///< Plain: sent to a sidecar.
+    Answering, ///< The head of the answer has arrived.
 };
 
 /// One request in progress.
 struct GatewayRequest {
     RequestId id;
     CallerRequest caller;
-    RequestFingerprint fingerprint; ///< The same when it comes again.
+    RequestFingerprint fingerprint; ///< Equal for identical requests of an account.
     ServiceRules rules;
     Priority priority = Priority::Normal;
     RequestPhase phase = RequestPhase::New;
     Instant arrived;
-    Instant startDeadline; ///< The first token (generation) or the start (plain) is useless after this.
+    Instant startDeadline; ///< Latest useful time of the first token (generation) or of the start (plain).
     Instant lastProgress;
-    Instant sentAt; ///< To the upstream that works on it now.
+    Instant sentAt; ///< When it was sent to the upstream that works on it now.
     Attempt attempt;
-    int placementAttempts = 0;
-    std::optional<Duration> retryAfter; ///< The soonest time that any refusal named.
+    int placementAttempts = 0; ///< Bounds the replicas that are tried.
+    std::optional<Duration> retryAfter; ///< The smallest retry delay of all refusals.
     PeerId upstream; ///< Decode or plain sidecar of this attempt.
-    Placement::Excluded excluded;
+    Placement::Excluded excluded; ///< Decode or plain replicas that refused or failed it.
 
-    PeerId prefill;
+    PeerId prefill; ///< Prefill sidecar of this attempt.
     Placement::Excluded excludedPrefills;
     std::uint32_t predictedCachedTokens = 0;
-    std::uint64_t unusedPrefillTokens = 0; ///< Of this attempt's prefill, until its first token proves it used.
+    std::uint64_t unusedPrefillTokens = 0; ///< Prompt tokens that this attempt's prefill computes; 0 once a token was generated from them.
     Instant prefilledAt;
     std::string kvParams;
-    int decodeMoves = 0;
+    int decodeMoves = 0; ///< How often the prefill's result was offered to another decode replica.
 
-    std::string ledgerKey; ///< Plain and non-repeatable with a caller's key.
-    std::uint64_t contentHash = 0; ///< As the ledger keeps it.
+    std::string ledgerKey; ///< Set for a non-repeatable plain call that carries an idempotency key.
+    std::uint64_t contentHash = 0; ///< Stored in the ledger to detect a key that is reused for another request.
     KeptAnswer keptAnswer;
 
     bool headSent = false;
-    std::uint64_t answerBytes = 0; ///< Passed to the caller so far.
+    std::uint64_t answerBytes = 0; ///< Sent to the caller so far.
     Instant firstTokenAt;
     Instant lastTokenAt;
     RequestSummary summary;
@@ -90,26 +90,26 @@
     void sendAll(ControllerClient::Sends);
     void note(EventCode, const RequestId&, std::string text);
 
-    /// Passes a head, a piece or the end of an answer on to the caller. Pieces are placed by offset: what the caller
-    /// already has is cut off. \returns false if bytes are missing in between.
+    /// Forwards the head, a chunk or the end of an answer to the caller. Of a chunk, the bytes below the offset that was
+    /// already sent are skipped. \returns false if there is a gap between the bytes sent and the chunk.
     void answerHead(GatewayRequest&, int status, HeaderList);
     bool answerData(GatewayRequest&, std::uint64_t offset, std::string bytes);
     void answerEnd(GatewayRequest&, Instant now);
-    /// Gives the final error, at once, with when to come back, and forgets the request.
+    /// Ends the request with an error; if a retry can succeed, with a randomized retry delay.
     void failRequest(GatewayRequest&, ResultCode, std::string message, Instant now);
-    /// Counts a failure or success of an upstream and notes an ejection or return.
+    /// Counts a failure or success of an upstream and logs its ejection or return.
     void upstreamFailed(PeerId, Instant now);
     void upstreamSucceeded(PeerId);
-    /// The upstream's connection ended while it worked on the request.
+    /// Records that the upstream's connection closed while it worked on the request, and reports it to the controllers.
     void noteCrash(const GatewayRequest&, PeerId upstream, Instant now);
-    /// Whether replicas that ran this very request have crashed, so that it is not run again.
+    /// Whether identical requests have crashed replicas, so that this one must not run.
     [[nodiscard]] bool crashesReplicas(const GatewayRequest&, Instant now) const;
     void refuseAsCrashing(GatewayRequest&, Instant now);
-    /// It was answered whole.
+    /// Records that the request was answered completely, which clears the crashes recorded for it.
     void noteServed(const GatewayRequest&, Instant now);
-    /// Remembers the soonest time to come back among several refusals.
+    /// Keeps the smallest retry delay of several refusals.
     static void keepEarliestRetryAfter(GatewayRequest&, Duration);
-    /// Forgets the request and reports how it ended.
+    /// Removes the request and emits its summary.
     void close(GatewayRequest&, ResultCode, Instant now);
 };
 
--- a/src/request/sidecar/GatewayEvents.h
+++ b/src/request/sidecar/GatewayEvents.h
@@ -1,5 +1,5 @@
 /** \file
- * What a gateway's state machine hears (events) and asks for (effects). Plain data, no behaviour.
+ * Input events and output effects of a gateway's state machine. Plain data, no behaviour.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace wrenhinge {
 
-/// A caller's request after HTTP is off it.
+/// A caller's request, parsed from HTTP.
 struct CallerRequest {
     std::string account;
     std::string service;
@@ -23,7 +23,7 @@
     bool asksUrgent = false;
     std::string idempotencyKey;
     // Generation only.
-    bool isStreamed = false; ///< Token by token; otherwise the whole answer comes at its end.
+    bool isStreamed = false; ///< Tokens are sent as they are generated; otherwise the answer is sent when it is complete.
     std::uint32_t promptTokens = 0;
     std::uint32_t maxTokens = 0;
     std::vector<std::uint64_t> prefixBlocks; ///< Chained hashes of the prompt's leading blocks.
@@ -42,7 +42,7 @@
     Duration tokenInterval {}; ///< Mean over the answer.
     std::uint32_t tokens = 0;
     std::uint64_t prefillTokens = 0; ///< Prompt tokens that prefill engines were asked to compute for it.
-    std::uint64_t wastedPrefillTokens = 0; ///< Of these, the ones whose result never became a token.
+    std::uint64_t wastedPrefillTokens = 0; ///< Those of `prefillTokens` whose result was discarded before a token was generated from it.
     std::uint32_t retries = 0;
 };
 
@@ -81,12 +81,12 @@
     struct AnswerEnd {
         RequestId request;
     };
-    /// The final answer is an error; the head was not sent before.
+    /// Ends the request with an error. No head was sent before.
     struct AnswerError {
         RequestId request;
         Error error;
     };
-    /// The answer broke off after its head was sent.
+    /// Aborts an answer whose head was already sent.
     struct AnswerAborted {
         RequestId request;
         Error error;
--- a/src/request/sidecar/GatewayLogic.cpp
+++ b/src/request/sidecar/GatewayLogic.cpp
@@ -9,7 +9,7 @@
 namespace {
 
     constexpr Duration tickInterval = 50ms;
-    /// While a proposal waits, its repeat must not be late.
+    /// Used while a proposal is pending, so that its retransmission is sent on time.
     constexpr Duration proposalTickInterval = 20ms;
     constexpr Duration crashExpiryInterval = 10s;
 
@@ -50,12 +50,12 @@
     auto caller = event.caller;
     caller.service = serviceOf(caller);
     if (m_isDraining)
-        return refuseNew(event.request, { ResultCode::Draining, "this gateway is leaving; send it to another one", 100ms });
+        return refuseNew(event.request, { ResultCode::Draining, "this gateway is shutting down; send the request to another one", 100ms });
     auto rules = rulesFor(caller.service);
     if (!rules)
         return refuseNew(event.request, rules.error());
-    if (auto entered = m_context.limits.acquire(caller.account, configuration().account(caller.account), now); !entered)
-        return refuseNew(event.request, entered.error());
+    if (auto admitted = m_context.limits.acquire(caller.account, configuration().account(caller.account), now); !admitted)
+        return refuseNew(event.request, admitted.error());
 
     auto& request = m_context.requests[event.request];
     request.id = event.request;
@@ -69,7 +69,7 @@
     bool isGeneration = request.rules.kind == ServiceKind::Generation;
     request.startDeadline = now + (isGeneration ? request.rules.firstTokenTarget : request.rules.deadline);
     if (!isGeneration && !request.rules.repeatable && !caller.idempotencyKey.empty()) {
-        // Keys are the account's own: two accounts may use the same one.
+        // Idempotency keys are scoped to the account: two accounts may use the same one.
         request.ledgerKey = caller.account + "/" + caller.service + "/" + caller.idempotencyKey;
         request.contentHash = contentHashOf(caller);
     }
@@ -84,7 +84,8 @@
     withFlow(request, [&](auto& flow) { flow.begin(request, now); });
 }
 
-/// Callers of the OpenAI form name a model; it may be the service's own name or the name of a model that one serves.
+/// Resolves the name in a request to a service. Callers of the OpenAI API name a model, which may be the name of a service
+/// or of a model that a service runs.
 std::string GatewayLogic::serviceOf(const CallerRequest& caller) const
 {
     if (configuration().service(caller.service))
@@ -96,7 +97,7 @@
     return caller.service;
 }
 
-/// The rules of the configuration; a service that only announced itself is served by the defaults of its kind.
+/// The configured rules of a service, or the defaults of its kind if it is announced by an upstream but not configured.
 Result<ServiceRules> GatewayLogic::rulesFor(const std::string& service) const
 {
     if (const auto* rules = configuration().service(service))
@@ -107,7 +108,7 @@
         ServiceRules rules;
         bool isPlain = upstream.kind == UpstreamKind::Plain;
         rules.kind = isPlain ? ServiceKind::Plain : ServiceKind::Generation;
-        // Nothing says that a plain call may be repeated, so it may not.
+        // Without configuration a plain call is assumed to be unsafe to repeat.
         rules.repeatable = !isPlain;
         return rules;
     }
@@ -128,7 +129,7 @@
     auto& request = it->second;
     if (m_context.safeguards.cancelsForGoneCaller)
         withFlow(request, [&](auto& flow) { flow.cancel(request); });
-    m_context.note(EventCode::RequestCancelled, request.id, "the caller has gone");
+    m_context.note(EventCode::RequestCancelled, request.id, "the caller disconnected");
     m_context.close(request, ResultCode::Cancelled, now);
     checkDrained();
 }
@@ -145,7 +146,7 @@
     if (event.peer.role == Role::Controller) {
         m_context.controllers.onControllerUp(event.peer.id);
         m_context.sendAll(m_context.follower.onControllerUp(event.peer.id, now));
-        // It may have started again and know nothing.
+        // The controller may have restarted and lost its crash records.
         if (auto report = m_context.crashes.describeAll(CrashTracker::Standing::Unknown, now); !report.isEmpty())
             m_context.send(event.peer.id, std::move(report));
     }
@@ -161,17 +162,17 @@
     }
 }
 
-void GatewayLogic::handleUpstreamLoss(PeerId gone, Instant now)
+void GatewayLogic::handleUpstreamLoss(PeerId lost, Instant now)
 {
-    m_context.placement.prefixIndex().removeReplica(gone);
+    m_context.placement.prefixIndex().removeReplica(lost);
     std::vector<RequestId> affected;
     for (const auto& [id, request] : m_context.requests) {
-        if (request.upstream == gone || request.prefill == gone)
+        if (request.upstream == lost || request.prefill == lost)
             affected.push_back(id);
     }
     for (const auto& id : affected) {
         auto& request = m_context.requests.at(id);
-        withFlow(request, [&](auto& flow) { flow.onUpstreamLost(request, gone, now); });
+        withFlow(request, [&](auto& flow) { flow.onUpstreamLost(request, lost, now); });
     }
     checkDrained();
 }
@@ -201,7 +202,7 @@
         m_context.note(EventCode::UpstreamDraining, {}, it->second.name + " of " + message.service);
 }
 
-/// The request that a message is about, if it is still in progress and the message belongs to its present attempt.
+/// Finds the request that a message refers to; null if it has ended or the message belongs to another attempt.
 GatewayRequest* GatewayLogic::findCurrent(PeerId from, const RequestId& id, Attempt attempt)
 {
     auto it = m_context.requests.find(id);
@@ -311,13 +312,13 @@
 {
     m_context.sendAll(m_context.follower.tick(now));
     ControllerClient::Sends sends;
-    auto givenUp = m_context.controllers.tick(sends, now);
+    auto timedOut = m_context.controllers.tick(sends, now);
     m_context.sendAll(std::move(sends));
-    for (const auto& done : givenUp)
+    for (const auto& done : timedOut)
         onDecided(done, now);
-    for (auto gone : m_context.safeguards.expiresLeases ? m_context.upstreams.removeExpired(now) : std::vector<PeerId>()) {
-        m_context.note(EventCode::UpstreamLeaseExpired, {}, toString(gone));
-        handleUpstreamLoss(gone, now);
+    for (auto lost : m_context.safeguards.expiresLeases ? m_context.upstreams.removeExpired(now) : std::vector<PeerId>()) {
+        m_context.note(EventCode::UpstreamLeaseExpired, {}, toString(lost));
+        handleUpstreamLoss(lost, now);
     }
     std::vector<RequestId> ids;
     ids.reserve(m_context.requests.size());
@@ -337,7 +338,8 @@
 
 void GatewayLogic::checkDrained()
 {
-    // Outcomes still on their way to the ledger count as work: losing them would turn an answer into "unknown".
+    // Outcomes not yet recorded in the ledger delay the shutdown: losing one would turn an answered request into "outcome
+    // unknown" for a resend.
     if (!m_isDraining || m_reportedDrained || !m_context.requests.empty() || !m_context.controllers.empty())
         return;
     m_reportedDrained = true;
--- a/src/request/sidecar/GatewayLogic.h
+++ b/src/request/sidecar/GatewayLogic.h
@@ -1,7 +1,7 @@
 /** \file
- * The decisions of a gateway: takes callers' requests, sends each through its flow, and answers each exactly once.
+ * State machine of a gateway: accepts callers' requests, routes each through the flow of its kind and answers it once.
  *
- * A state machine without I/O: events and an instant in, effects out. The seed of its random choices is given.
+ * It takes events and the current time, returns effects and does no I/O. Its random choices are seeded by the caller.
  */
 #pragma once
 
@@ -18,12 +18,12 @@
     explicit GatewayLogic(std::uint64_t seed, const Safeguards& = {});
 
     Effects step(const gateway::Event&, Instant now);
-    /// When the next Tick is due at the latest.
+    /// The latest time at which the next Tick is due.
     [[nodiscard]] Instant nextWake() const { return m_nextTick; }
 
     [[nodiscard]] const UpstreamTable& upstreams() const { return m_context.upstreams; }
     [[nodiscard]] const Configuration& configuration() const { return m_context.follower.configuration(); }
-    /// Whether the configuration is known to be no older than any that was in force here before.
+    /// Whether the configuration is known to be at least as new as every one that was applied here before.
     [[nodiscard]] bool isConfirmed() const { return m_context.follower.isConfirmed(); }
     [[nodiscard]] std::size_t inProgress() const { return m_context.requests.size(); }
     [[nodiscard]] bool isDraining() const { return m_isDraining; }
--- a/src/request/sidecar/GenerationFlow.cpp
+++ b/src/request/sidecar/GenerationFlow.cpp
@@ -8,13 +8,14 @@
 
     /// Sidecars asked for a slot before the request is refused.
     constexpr int maxPlacements = 4;
-    /// Decode replicas asked to take a finished prefill whose own replica had no slot.
+    /// Further decode replicas that are offered the result of a finished prefill when the granted one has no slot.
     constexpr int maxDecodeMoves = 3;
-    /// Engines drop a prefill's result about then; planning stays within it.
+    /// Engines free a prefill's result after about this time, so every decode must be scheduled within it.
     constexpr Duration resultLife = 700ms;
-    /// Sidecars refuse by themselves when time is up; this much later the gateway concludes that one of them hangs.
+    /// Sidecars refuse work whose deadline has passed. If neither a refusal nor a token arrives within this time after the
+    /// deadline, the gateway treats the sidecar as hung.
     constexpr Duration hangMargin = 1s;
-    /// An answer without a token for this long has stalled.
+    /// An answer that makes no progress for this long has stalled.
     constexpr Duration stallTimeout = 10s;
 
     PrefillRequirements requirementsOf(const GatewayRequest& request)
@@ -41,17 +42,17 @@
         return refuse(request, request.retryAfter ? ResultCode::Overloaded : ResultCode::NoUpstream, now);
     request.upstream = *decode;
     request.attempt = request.attempt.next();
-    auto lead = prefill->end + transferTime(request);
-    if (lead > remaining) {
-        GatewayContext::keepEarliestRetryAfter(request, lead - remaining);
+    auto leadTime = prefill->end + transferTime(request);
+    if (leadTime > remaining) {
+        GatewayContext::keepEarliestRetryAfter(request, leadTime - remaining);
         return refuse(request, ResultCode::DeadlineUnreachable, now);
     }
     request.phase = RequestPhase::AwaitingGrant;
     m_context.note(
-        EventCode::RequestPlaced, request.id, "decode " + toString(*decode) + ", lead time " + std::to_string(lead.count()) + " us");
+        EventCode::RequestPlaced, request.id, "decode " + toString(*decode) + ", lead time " + std::to_string(leadTime.count()) + " us");
     auto sequence = m_context.upstreams.recordSent(*decode, Duration::zero());
     m_context.send(*decode,
-        SlotRequest { request.id, request.attempt, sequence, request.priority, lead, remaining - lead, request.caller.promptTokens,
+        SlotRequest { request.id, request.attempt, sequence, request.priority, leadTime, remaining - leadTime, request.caller.promptTokens,
             request.caller.maxTokens });
 }
 
@@ -63,7 +64,8 @@
     startPrefill(request, now);
 }
 
-/// Chooses the prefill replica now and not with the decode replica: the queues may have changed while the grant waited.
+/// Chooses the prefill replica only now, not together with the decode replica, since the prefill queues may have changed
+/// while the grant was pending.
 void GenerationFlow::startPrefill(GatewayRequest& request, Instant now)
 {
     if (m_context.crashesReplicas(request, now)) {
@@ -117,7 +119,7 @@
             request.caller.target, request.caller.body, request.kvParams });
 }
 
-/// The granted replica has no slot after all: while the result lives, any replica with a free slot can fetch it.
+/// The granted replica has no slot after all. Until the prefill's result expires, any replica with a free slot can fetch it.
 void GenerationFlow::moveDecode(GatewayRequest& request, Instant now)
 {
     auto resultLeft = resultLife - (now - request.prefilledAt);
@@ -157,7 +159,7 @@
     }
     if (!m_context.answerData(request, data.offset, data.bytes)) {
         m_context.send(from, Cancel { request.id, request.attempt });
-        m_context.failRequest(request, ResultCode::UpstreamFailed, "a piece of the answer was lost; send the request again", now);
+        m_context.failRequest(request, ResultCode::UpstreamFailed, "part of the answer was lost; send the request again", now);
     }
 }
 
@@ -184,11 +186,11 @@
         return place(request, now);
     }
     if (isDecode && request.phase == RequestPhase::Prefilling) {
-        // The grant lapsed or was taken back while the prefill runs: look for another slot when it ends.
+        // The grant expired or was revoked while the prefill runs: another slot is chosen when the prefill ends.
         return;
     }
     if (from == request.prefill && request.phase == RequestPhase::Prefilling) {
-        request.summary.prefillTokens -= request.unusedPrefillTokens; // It never began.
+        request.summary.prefillTokens -= request.unusedPrefillTokens; // The prefill never started.
         request.unusedPrefillTokens = 0;
         request.excludedPrefills.insert(from);
         startPrefill(request, now);
@@ -201,7 +203,8 @@
         return;
     if (failed.code == ResultCode::MalformedRequest) {
         cancel(request);
-        return m_context.failRequest(request, ResultCode::MalformedRequest, "the engine can't read this request; correct its body", now);
+        return m_context.failRequest(
+            request, ResultCode::MalformedRequest, "the engine rejected this request as malformed; correct its body", now);
     }
     m_context.upstreamFailed(from, now);
     (from == request.upstream ? request.excluded : request.excludedPrefills).insert(from);
@@ -210,25 +213,25 @@
     retry(request, nameOf(failed.code), now);
 }
 
-void GenerationFlow::onUpstreamLost(GatewayRequest& request, PeerId gone, Instant now)
+void GenerationFlow::onUpstreamLost(GatewayRequest& request, PeerId lost, Instant now)
 {
-    bool usesPrefill = gone == request.prefill && request.phase == RequestPhase::Prefilling;
-    if (gone != request.upstream && !usesPrefill)
+    bool usesPrefill = lost == request.prefill && request.phase == RequestPhase::Prefilling;
+    if (lost != request.upstream && !usesPrefill)
         return;
-    (usesPrefill ? request.excludedPrefills : request.excluded).insert(gone);
+    (usesPrefill ? request.excludedPrefills : request.excluded).insert(lost);
     cancel(request);
-    retry(request, "its replica is gone", now);
+    retry(request, "its replica was lost", now);
 }
 
-/// Starts over under a new attempt, if nothing that the caller saw would have to be taken back and the budget allows it.
+/// Restarts the request as a new attempt, unless the caller has received a part of the answer or the retry budget is used up.
 void GenerationFlow::retry(GatewayRequest& request, std::string_view why, Instant now)
 {
     discardPrefill(request);
     if (request.answerBytes)
-        return m_context.failRequest(request, ResultCode::UpstreamFailed, "the answer broke off; send the request again", now);
+        return m_context.failRequest(request, ResultCode::UpstreamFailed, "the answer was interrupted; send the request again", now);
     if (!m_context.retries.tryWithdraw(now))
         return m_context.failRequest(
-            request, ResultCode::UpstreamFailed, "the engine failed and retries are used up; send the request again", now);
+            request, ResultCode::UpstreamFailed, "the engine failed and the retry budget is used up; send the request again", now);
     ++request.summary.retries;
     request.decodeMoves = 0;
     m_context.note(EventCode::RequestRetried, request.id, std::string(why));
@@ -237,8 +240,8 @@
 
 void GenerationFlow::refuse(GatewayRequest& request, ResultCode code, Instant now)
 {
-    auto message = code == ResultCode::NoUpstream ? "no replica of this service can take it now; come back later"
-                                                  : "the first token can't come in time; come back later";
+    auto message = code == ResultCode::NoUpstream ? "no replica of this service can take this request now; retry later"
+                                                  : "the first token can't be produced in time; retry later";
     m_context.failRequest(request, code, message, now);
 }
 
@@ -259,14 +262,14 @@
 
 void GenerationFlow::tick(GatewayRequest& request, Instant now)
 {
-    bool hangs = request.phase != RequestPhase::Answering && now > request.startDeadline + hangMargin;
-    bool stalls = request.phase == RequestPhase::Answering && now > request.lastProgress + stallTimeout;
-    if (!hangs && !stalls)
+    bool isHung = request.phase != RequestPhase::Answering && now > request.startDeadline + hangMargin;
+    bool isStalled = request.phase == RequestPhase::Answering && now > request.lastProgress + stallTimeout;
+    if (!isHung && !isStalled)
         return;
     cancel(request);
     m_context.upstreamFailed(request.phase == RequestPhase::Prefilling ? request.prefill : request.upstream, now);
-    m_context.failRequest(request, hangs ? ResultCode::DeadlineUnreachable : ResultCode::UpstreamFailed,
-        hangs ? "the first token did not come in time; come back later" : "the answer stalled; send the request again", now);
+    m_context.failRequest(request, isHung ? ResultCode::DeadlineUnreachable : ResultCode::UpstreamFailed,
+        isHung ? "the first token was not produced in time; retry later" : "the answer stalled; send the request again", now);
 }
 
 Duration GenerationFlow::transferTime(const GatewayRequest& request) const
--- a/src/request/sidecar/GenerationFlow.h
+++ b/src/request/sidecar/GenerationFlow.h
@@ -1,12 +1,12 @@
 /** \file
- * The life of a generation request at its gateway: grant, prefill, decode, and what to do when a step fails.
+ * The flow of a generation request at its gateway: slot grant, prefill, decode, and recovery when a step fails.
  *
  *     place -> AwaitingGrant -> Prefilling -> AwaitingDecode -> Answering -> end
- *       ^           | refused       | refused        | no slot: another decode replica, while the result lives
+ *       ^           | refused       | refused        | no slot: another decode replica, until the result expires
  *       +-----------+               +-- another prefill replica under the same grant
  *
- * The decode slot is granted before the prefill starts, because a prefill without a slot is waste. Each new start is a
- * new attempt; whatever still comes from an earlier one is dropped by its number.
+ * The decode slot is granted before the prefill starts, because the work of a prefill without a slot is wasted. Every
+ * restart of the flow is a new attempt; messages of earlier attempts are dropped by their attempt number.
  */
 #pragma once
 
@@ -29,9 +29,9 @@
     void onEnd(GatewayRequest&, PeerId from, const ResponseEnd&, Instant now);
     void onRefused(GatewayRequest&, PeerId from, const Refused&, Instant now);
     void onFailed(GatewayRequest&, PeerId from, const Failed&, Instant now);
-    /// A sidecar that this request relies on is gone.
+    /// The link to a sidecar that this request uses was lost, or its lease expired.
     void onUpstreamLost(GatewayRequest&, PeerId, Instant now);
-    /// The caller has gone: releases all that the request holds.
+    /// Releases everything that the request holds at sidecars, for example after the caller disconnected.
     void cancel(GatewayRequest&);
     void tick(GatewayRequest&, Instant now);
 
--- a/src/request/sidecar/LinearCost.cpp
+++ b/src/request/sidecar/LinearCost.cpp
@@ -41,14 +41,14 @@
 
 void LinearCost::solve()
 {
-    double spread = m_weight * m_xx - m_x * m_x;
-    m_perUnit = spread > 1e-9 * std::max(1.0, m_weight * m_xx) ? (m_weight * m_xy - m_x * m_y) / spread : 0;
+    double determinant = m_weight * m_xx - m_x * m_x;
+    m_perUnit = determinant > 1e-9 * std::max(1.0, m_weight * m_xx) ? (m_weight * m_xy - m_x * m_y) / determinant : 0;
     m_fixed = (m_y - m_perUnit * m_x) / m_weight;
     if (m_perUnit < 0) {
         m_perUnit = 0;
         m_fixed = m_y / m_weight;
     } else if (m_fixed < 0) {
-        // A line below zero at small sizes would promise prefills for nothing: go through the origin instead.
+        // A negative fixed cost would predict zero or less for small prefills, so fit a line through the origin instead.
         m_fixed = 0;
         m_perUnit = m_xx > 0 ? std::max(0.0, m_xy / m_xx) : 0;
     }
--- a/src/request/sidecar/LinearCost.h
+++ b/src/request/sidecar/LinearCost.h
@@ -1,8 +1,8 @@
 /** \file
- * Learns what a piece of work costs: `fixed + perUnit * units`, by least squares over recent observations.
+ * Linear model of the time that a piece of work takes, `fixed + perUnit * units`, fitted by least squares.
  *
- * A prefill of 40 tokens and one of 20,000 differ by a factor of hundreds, so one mean is useless for both. Older
- * observations fade, so that a replica that slows down is known as slow after some tens of requests.
+ * The durations of a prefill of 40 tokens and one of 20,000 differ by a factor of hundreds, so a single mean predicts
+ * neither. Older observations decay exponentially, so that a replica's slowdown shows after some tens of requests.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 class LinearCost {
 public:
-    /// Starts from a guess, which counts as two observations.
+    /// Starts from an initial estimate, which counts as two observations.
     LinearCost(Duration fixed, double microsPerUnit, double typicalUnits);
 
     void observe(double units, Duration took);
--- a/src/request/sidecar/Placement.cpp
+++ b/src/request/sidecar/Placement.cpp
@@ -11,14 +11,15 @@
 
     constexpr Duration startTimeResolution = 50ms;
 
-    /// Smaller is better: the expected start first, then how full the replica is.
-    std::pair<std::int64_t, double> slotScore(const Upstream& upstream, const SlotRequirements& requirements)
+    /// Lower is better. Compares the predicted start first, then the load per slot.
+    std::pair<std::int64_t, double> placementScore(const Upstream& upstream, const SlotRequirements& requirements)
     {
         auto assigned = upstream.load.occupied + upstream.load.queued + upstream.uncovered.size();
         auto start = std::max(predictedSlotWait(upstream, requirements.priority), requirements.neededIn);
         if (upstream.kind == UpstreamKind::Decode)
             start += predictedTransferTime(upstream, requirements.promptTokens);
-        // Differences within the error of the estimates must not decide, or all go to the one that looks best by chance.
+        // Differences within the estimation error must not decide: otherwise all work goes to the replica whose estimate is
+        // lowest by chance.
         return { start / startTimeResolution, static_cast<double>(assigned) / std::max(1u, upstream.load.slots) };
     }
 
@@ -47,11 +48,13 @@
     auto list = candidates(service, kind, excluded, now);
     if (list.empty())
         return std::nullopt;
-    // Urgent work is rare enough to look at all without a rush to the best; the rest takes the better of two.
+    // Urgent work is rare enough to choose the best of all candidates without overloading it; other work takes the better
+    // of two random ones.
     if (requirements.priority != Priority::Urgent)
         list = { list[randomIndex(list.size())], list[randomIndex(list.size())] };
-    auto isBetter
-        = [&requirements](const Upstream* a, const Upstream* b) { return slotScore(*a, requirements) < slotScore(*b, requirements); };
+    auto isBetter = [&requirements](const Upstream* a, const Upstream* b) {
+        return placementScore(*a, requirements) < placementScore(*b, requirements);
+    };
     return (*std::min_element(list.begin(), list.end(), isBetter))->id;
 }
 
@@ -63,7 +66,7 @@
     return { upstream.id, predictedCompletion(upstream, requirements.priority, cost), cost, cached };
 }
 
-/// Adds the owner of the prefix and those that are believed to hold it already.
+/// Adds the owner of the prefix by consistent hashing and the replicas that are believed to have it cached.
 void Placement::addByPrefix(
     Candidates& list, const std::string& service, const PrefillRequirements& requirements, const Excluded& excluded, Instant now) const
 {
@@ -88,7 +91,7 @@
     std::optional<PrefillChoice> best;
     for (const auto* upstream : shortList) {
         auto choice = evaluate(*upstream, requirements);
-        // Among equals the prefix's owner (listed later) is preferred: that is where others will look for it.
+        // On a tie prefer the later entries, the prefix's owner and its holders: other gateways send the prefix there too.
         if (!best || choice.end <= best->end)
             best = choice;
     }
--- a/src/request/sidecar/Placement.h
+++ b/src/request/sidecar/Placement.h
@@ -1,9 +1,11 @@
 /** \file
- * Chooses the replicas for a request: two random choices for decode and plain work, cache and queue for prefill.
+ * Chooses replicas for a request: the better of two random replicas for decode and plain work; for prefill, by cached
+ * prefix and queue.
  *
- * Best-of-all on stale reports makes every gateway pick the same replica; two random choices spread them and are nearly
- * as good. For prefill the choice is between the replica that holds the longest cached prefix, the one that the prefix
- * hashes to (so that gateways which know nothing agree where a prefix lives), and two random ones.
+ * If every gateway chose the best of all replicas from the same stale reports, all would choose the same one. The better of
+ * two random replicas spreads the load and is nearly as good. For prefill the candidates are the replicas that are believed
+ * to hold the prefix, the one that the prefix hashes to (so that gateways without cache information choose the same replica
+ * for a prefix), and two random ones.
  */
 #pragma once
 
@@ -16,24 +18,26 @@
 
 namespace wrenhinge {
 
-/// The chosen prefill replica and what is expected of it.
+/// The chosen prefill replica and its predictions.
 struct PrefillChoice {
     PeerId replica;
     Duration end {}; ///< Predicted time from now to the end of the prefill.
-    Duration cost {}; ///< The part of it that the engine computes.
+    Duration cost {}; ///< The part of `end` in which the engine computes the prompt, without queueing.
     std::uint32_t cachedTokens = 0;
 };
 
+/// What a prefill needs of its replica.
 struct PrefillRequirements {
     std::uint32_t promptTokens = 0;
     std::span<const std::uint64_t> prefixBlocks;
     Priority priority = Priority::Normal;
 };
 
+/// What decode or plain work needs of its replica.
 struct SlotRequirements {
     Priority priority = Priority::Normal;
-    Duration neededIn {}; ///< The slot is of no use before: the prefill runs until then.
-    std::uint32_t promptTokens = 0; ///< Decode: what must be transferred.
+    Duration neededIn {}; ///< Time until the slot is needed, for decode the end of the prefill.
+    std::uint32_t promptTokens = 0; ///< Decode: tokens whose prefill result must be transferred.
 };
 
 class Placement {
@@ -42,13 +46,13 @@
 
     using Excluded = std::set<PeerId>;
 
-    /// Decode or plain: the replica where new work is expected to start first.
+    /// Chooses a decode or plain replica by the predicted start of the work.
     std::optional<PeerId> chooseReplica(const std::string& service, UpstreamKind, const SlotRequirements&, const Excluded&, Instant now);
-    /// Prefill: the replica where the prompt is expected to be done first.
+    /// Chooses a prefill replica by the predicted end of the prefill.
     std::optional<PrefillChoice> choosePrefillReplica(const std::string& service, const PrefillRequirements&, const Excluded&, Instant now);
 
     PrefixIndex& prefixIndex() { return m_prefixes; }
-    /// A random factor in [1 - spread, 1 + spread], to keep callers from coming back all at once.
+    /// A random factor in [1 - spread, 1 + spread], which keeps refused callers from retrying at the same time.
     double jitter(double spread);
 
 private:
--- a/src/request/sidecar/PlainFlow.cpp
+++ b/src/request/sidecar/PlainFlow.cpp
@@ -8,7 +8,7 @@
 
     constexpr int maxPlacements = 4;
     constexpr Duration hangMargin = 1s;
-    /// A plain call that has been admitted may take this long to answer.
+    /// How long a dispatched call may take after its start deadline or its last progress, whichever is later.
     constexpr Duration answerTimeout = 60s;
     constexpr Duration intentTimeout = 2s;
     constexpr Duration outcomeTimeout = 30s;
@@ -26,12 +26,12 @@
         return m_context.refuseAsCrashing(request, now);
     if (request.placementAttempts++ >= maxPlacements || now >= request.startDeadline)
         return m_context.failRequest(
-            request, ResultCode::Overloaded, "no replica can start it in time; it was not run, come back later", now);
+            request, ResultCode::Overloaded, "no replica can start this call in time; it was not run, retry later", now);
     auto replica = m_context.placement.chooseReplica(
         request.caller.service, UpstreamKind::Plain, { .priority = request.priority }, request.excluded, now);
     if (!replica) {
         auto code = request.retryAfter ? ResultCode::Overloaded : ResultCode::NoUpstream;
-        return m_context.failRequest(request, code, "no replica of this service can take it now; it was not run, come back later", now);
+        return m_context.failRequest(request, code, "no replica of this service can take this call now; it was not run, retry later", now);
     }
     request.upstream = *replica;
     request.attempt = request.attempt.next();
@@ -57,12 +57,12 @@
         return dispatch(request, now);
     if (!reply) {
         return m_context.failRequest(request, ResultCode::LedgerUnavailable,
-            "the ledger can't be reached from this site, so a call that may not be repeated was not run; come back later", now);
+            "the ledger can't be reached from this site, so a call that may not be repeated was not run; retry later", now);
     }
     switch (reply->ledger.state) {
     case LedgerState::Accepted:
         m_context.note(EventCode::IntentRecorded, request.id, "attempt " + std::to_string(request.attempt.value()));
-        // The sidecar went while the intent was recorded. Nothing was sent to it, so the next attempt may follow.
+        // The sidecar was lost while the intent was recorded. Nothing was sent to it, so a new attempt is safe.
         if (!m_context.upstreams.find(request.upstream))
             return place(request, now);
         return dispatch(request, now);
@@ -74,7 +74,7 @@
     }
 }
 
-/// The key is known: the same request came before, through this gateway or another.
+/// The ledger holds an earlier attempt of this request, sent through this gateway or another.
 void PlainFlow::resolveEarlierAttempt(GatewayRequest& request, const LedgerView& ledger, Instant now)
 {
     if (ledger.finished && ledger.outcome == AdmissionState::Finished)
@@ -84,7 +84,8 @@
     request.attempt = ledger.attempt;
     request.upstream = ledger.sidecar;
     if (!m_context.upstreams.find(ledger.sidecar)) {
-        // A new run of the replica can't tell what the former one did; one that is merely out of reach may return.
+        // If the replica has restarted, its admission table is lost and the outcome stays unknown for good. One that is only
+        // unreachable may reconnect and report it, so nothing is recorded then.
         if (m_context.upstreams.isReplaced(ledger.sidecar, request.caller.service))
             recordOutcome(request, AdmissionState::Broken, {}, now);
         return failAsUnknownOutcome(request, now);
@@ -101,11 +102,11 @@
     switch (reply.state) {
     case AdmissionState::NeverAdmitted:
         m_context.note(
-            EventCode::AttemptSealed, request.id, "attempt " + std::to_string(reply.attempt.value()) + " never ran and never will");
+            EventCode::AttemptSealed, request.id, "attempt " + std::to_string(reply.attempt.value()) + " never ran and is sealed");
         return place(request, now);
     case AdmissionState::Running:
         request.retryAfter = inProgressRetryAfter;
-        return m_context.failRequest(request, ResultCode::InProgress, "this request is running; come back for its answer", now);
+        return m_context.failRequest(request, ResultCode::InProgress, "this request is still running; retry later to get its answer", now);
     case AdmissionState::Finished:
         recordOutcome(request, AdmissionState::Finished, reply.answer, now);
         return replay(request, reply.answer, now);
@@ -129,7 +130,7 @@
 void PlainFlow::failAsUnknownOutcome(GatewayRequest& request, Instant now)
 {
     m_context.failRequest(request, ResultCode::OutcomeUnknown,
-        "the call may have run; it is not sent again. Check at the service itself before you use a new key", now);
+        "the call may have run and is not sent again; check with the service before using a new key", now);
 }
 
 void PlainFlow::dispatch(GatewayRequest& request, Instant now)
@@ -164,7 +165,7 @@
     if (isKeyed(request) && request.keptAnswer.body.size() <= keptAnswerLimit)
         request.keptAnswer.body += data.bytes;
     if (!m_context.answerData(request, data.offset, data.bytes))
-        m_context.failRequest(request, ResultCode::OutcomeUnknown, "a piece of the answer was lost; the call has run", now);
+        m_context.failRequest(request, ResultCode::OutcomeUnknown, "part of the answer was lost; the call has run", now);
 }
 
 void PlainFlow::onEnd(GatewayRequest& request, PeerId from, const ResponseEnd& end, Instant now)
@@ -199,7 +200,7 @@
     GatewayContext::keepEarliestRetryAfter(request, refused.retryAfter);
     if (refused.code == ResultCode::Superseded) {
         return m_context.failRequest(
-            request, ResultCode::Superseded, "a resend of this request was taken up elsewhere; come back for its answer", now);
+            request, ResultCode::Superseded, "a resend of this request superseded it; retry later to get its answer", now);
     }
     request.excluded.insert(from);
     place(request, now);
@@ -226,23 +227,24 @@
     place(request, now);
 }
 
-/// The link broke: what was dispatched may run and may answer nobody. Treated like a failure after the bytes left.
-void PlainFlow::onUpstreamLost(GatewayRequest& request, PeerId gone, Instant now)
+/// After the loss of the link a dispatched call may still run, but its answer can't be delivered. Handled like a failure after
+/// bytes were sent.
+void PlainFlow::onUpstreamLost(GatewayRequest& request, PeerId lost, Instant now)
 {
-    if (gone != request.upstream || request.phase == RequestPhase::AwaitingIntent)
+    if (lost != request.upstream || request.phase == RequestPhase::AwaitingIntent)
         return;
     if (request.phase == RequestPhase::AwaitingSeal)
         return failAsUnknownOutcome(request, now);
     if (isKeyed(request)) {
-        // The sidecar may live on and finish it, so no outcome is recorded: a resend asks it.
+        // The sidecar may still be running and finish the call, so no outcome is recorded: a resend queries it.
         return failAsUnknownOutcome(request, now);
     }
-    onFailed(request, gone, Failed { request.id, request.attempt, ResultCode::UpstreamFailed, true, {} }, now);
+    onFailed(request, lost, Failed { request.id, request.attempt, ResultCode::UpstreamFailed, true, {} }, now);
 }
 
 void PlainFlow::cancel(GatewayRequest& request)
 {
-    // A non-repeatable call that was sent can't be taken back; the sidecar knows and lets it run on.
+    // The sidecar does not abort a non-repeatable call that has started; it runs to completion.
     if (request.phase == RequestPhase::Dispatched || request.phase == RequestPhase::Answering)
         m_context.send(request.upstream, Cancel { request.id, request.attempt });
 }
--- a/src/request/sidecar/PlainFlow.h
+++ b/src/request/sidecar/PlainFlow.h
@@ -1,15 +1,15 @@
 /** \file
- * The life of a call to a plain service at its gateway, repeatable or not.
+ * The flow of a call to a plain service at its gateway, repeatable or not.
  *
  *     repeatable:          Dispatched -> Answering -> end          refused, failed: another replica
  *     not repeatable:      Dispatched -> Answering -> end          refused: another replica; failed: outcome unknown
- *     with a caller's key: AwaitingIntent -> Dispatched -> Answering -> outcome recorded
+ *     idempotency key:     AwaitingIntent -> Dispatched -> Answering -> outcome recorded
  *                               | an earlier attempt exists
  *                               v
  *                          AwaitingSeal -> its outcome, or a new intent if it was never admitted
  *
- * After the bytes may have reached the upstream, nothing that may not be repeated is sent a second time. The intent is
- * committed before the dispatch and names the sidecar's run, so that a resend through any gateway knows whom to ask.
+ * Once bytes may have reached the upstream, a non-repeatable call is never sent again. The intent is committed before the
+ * dispatch and identifies the run of the sidecar, so that a resend through any gateway can query that sidecar.
  */
 #pragma once
 
--- a/src/request/sidecar/PrefixIndex.h
+++ b/src/request/sidecar/PrefixIndex.h
@@ -1,9 +1,10 @@
 /** \file
- * An approximate picture of which prefill replica has which prompt blocks in its cache.
+ * Approximate index of the prompt blocks in the prefix caches of prefill replicas.
  *
- * Engines keep the leading blocks of prompts that they computed. The index remembers where this gateway sent each block
- * and unlearns when a reply shows that less was cached. It may be wrong either way; a wrong guess costs some
- * milliseconds of prefill, never correctness. Bounded: the oldest blocks are forgotten first.
+ * Engines cache the leading blocks of prompts that they computed. The index records where this gateway sent each block;
+ * entries can be removed when a reply shows that less was cached. It may list blocks that are not cached and miss others;
+ * a wrong entry costs some milliseconds of prefill, never correctness. Its size is bounded: the oldest blocks are evicted
+ * first.
  */
 #pragma once
 
@@ -23,14 +24,14 @@
 
     explicit PrefixIndex(std::size_t blockLimit = 200000);
 
-    /// Remembers that `replica` now computes a prompt of these blocks.
+    /// Records that `replica` computes a prompt of these blocks and will have them cached.
     void recordBlocks(std::span<const std::uint64_t> blocks, PeerId replica);
-    /// Takes back what was believed beyond the first `cachedBlocks` blocks.
+    /// Removes the replica's entries for all blocks after the first `cachedBlocks`.
     void truncate(std::span<const std::uint64_t> blocks, PeerId replica, std::size_t cachedBlocks);
     void removeReplica(PeerId replica);
-    /// Who is believed to hold a block.
+    /// The replicas that are believed to have a block cached.
     [[nodiscard]] std::span<const PeerId> holders(std::uint64_t block) const;
-    /// How many leading tokens of the prompt the replica probably has.
+    /// How many leading tokens of the prompt the replica probably has cached.
     [[nodiscard]] std::uint32_t cachedTokens(std::span<const std::uint64_t> blocks, PeerId replica) const;
 
 private:
--- a/src/request/sidecar/QueueAdmission.cpp
+++ b/src/request/sidecar/QueueAdmission.cpp
@@ -41,21 +41,21 @@
 
 Duration QueueAdmission::predictedWait(const WorkTable& table, const Work& work, Instant now) const
 {
-    WaitPredictor pass(*this, now);
+    WaitPredictor predictor(*this, now);
     for (const auto& [key, other] : table) {
         if (other.stage == WorkStage::Running)
-            pass.addRunning(other);
+            predictor.addRunning(other);
         else if (other.stage == WorkStage::Queued && key != work.key && WaitQueue::isServedBefore(other, work))
-            pass.addWaiting(other);
+            predictor.addWaiting(other);
     }
-    return pass.wait();
+    return predictor.wait();
 }
 
 Duration QueueAdmission::backlog(const WorkTable& table, Priority priority, Instant now) const
 {
     Work probe;
     probe.priority = priority;
-    probe.deadline = now + 1h; // Behind all of its own class.
+    probe.deadline = now + 1h; // Queued after all work of the same priority.
     return predictedWait(table, probe, now);
 }
 
--- a/src/request/sidecar/QueueAdmission.h
+++ b/src/request/sidecar/QueueAdmission.h
@@ -1,8 +1,8 @@
 /** \file
- * Order of service for upstreams that take work at once: prefill engines and plain services.
+ * Admission control for upstreams whose work needs no grant in advance: prefill engines and plain services.
  *
- * Work that could not end in time is refused on arrival, not when its time is up: the caller can go elsewhere sooner and
- * the engine spends nothing on an answer that would come too late.
+ * Work that is predicted to miss its deadline is refused on arrival instead of when the deadline passes: the caller can
+ * try another replica sooner, and the engine spends no time on an answer that would be too late.
  */
 #pragma once
 
@@ -13,9 +13,9 @@
 
 class QueueAdmission {
 public:
-    /// Predicts the waits of queued work one after the other, in order of service, so that a look at the whole queue costs its length.
-    /// Predicting each by itself costs the square of it: with a burst of 300 prompts in the queue a sidecar was busier with its
-    /// predictions than its engine with the prompts, the queue grew without bound and requests were held for 61 s.
+    /// Predicts the waits of all queued work in one pass in order of service, which takes time linear in the queue length.
+    /// Separate predictions take quadratic time: with a burst of 300 prompts in the queue, a sidecar spent more time on
+    /// predictions than its engine on the prompts, the queue grew without bound and requests were held for 61 s.
     class WaitPredictor {
     public:
         WaitPredictor(const QueueAdmission& admission, Instant now)
@@ -23,11 +23,11 @@
             , m_now(now)
         {
         }
-        /// Work that is running, or starts now.
+        /// Adds work that is running or starts now.
         void addRunning(const Work&);
-        /// Work that stays in the queue, before all that comes after it in this pass.
+        /// Adds work that stays queued, ahead of all work that is added or asked about later.
         void addWaiting(const Work&);
-        /// Predicted time until the next work in order would start.
+        /// Predicted time until the next work in order of service would start.
         [[nodiscard]] Duration wait() const;
         [[nodiscard]] bool hasFreeSlot() const { return m_running < m_admission.m_slots; }
 
@@ -45,7 +45,7 @@
 
     /// Predicted time until `work` would start, if it is queued or about to be.
     [[nodiscard]] Duration predictedWait(const WorkTable&, const Work&, Instant now) const;
-    /// Predicted time until new work of a priority would start.
+    /// Predicted time until new work of this priority would start.
     [[nodiscard]] Duration backlog(const WorkTable&, Priority, Instant now) const;
     [[nodiscard]] bool canCompleteInTime(const Work&, Duration wait, Instant now) const;
     [[nodiscard]] std::uint32_t slots() const { return m_slots; }
--- a/src/request/sidecar/RetryBudget.h
+++ b/src/request/sidecar/RetryBudget.h
@@ -1,9 +1,9 @@
 /** \file
- * Bounds retries of failed work to a share of the successes.
+ * Limits retries of failed work to a share of the successes.
  *
- * After an outage every gateway sees failures at once; if each request were tried three times, the load would triple
- * just when capacity is gone, and the system would stay down after the cause has ended. The budget lets retries be at
- * most a tenth of recent successes, plus a trickle so that a quiet gateway can retry at all.
+ * In an outage every gateway sees failures at the same time. If each request were tried three times, the load would triple
+ * while capacity is reduced, and the system would stay overloaded after the cause has ended. The budget allows retries for
+ * at most a tenth of recent successes, plus a small constant rate so that a gateway with little traffic can retry at all.
  */
 #pragma once
 
@@ -18,7 +18,7 @@
     static constexpr double maxBalance = 50;
 
     void onSuccess();
-    /// Takes one retry from the budget. \returns whether there was one.
+    /// Withdraws one retry from the budget. \returns false if the budget is used up.
     bool tryWithdraw(Instant now);
     [[nodiscard]] double balance() const { return m_balance; }
 
--- a/src/request/sidecar/SidecarEvents.h
+++ b/src/request/sidecar/SidecarEvents.h
@@ -1,5 +1,5 @@
 /** \file
- * What a sidecar's state machine hears (events) and asks for (effects). Plain data, no behaviour.
+ * Input events and output effects of a sidecar's state machine. Plain data, no behaviour.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace wrenhinge {
 
-/// A call for the driver to make to the upstream.
+/// A call that the I/O layer makes to the upstream.
 struct UpstreamCall {
     CallId id;
     RequestId request;
@@ -50,15 +50,15 @@
         std::string kvParams;
         std::uint32_t cachedTokens = 0;
     };
-    /// The call broke off, or the engine refused the caller's request as malformed. `mayHaveRun` is false only if no byte
-    /// was sent.
+    /// The call failed before its response was complete, or the engine rejected the request as malformed. `mayHaveRun` is
+    /// false only if no byte was sent.
     struct CallFailed {
         CallId call;
         bool mayHaveRun = true;
         ResultCode code = ResultCode::UpstreamFailed;
-        bool hasBrokenOff = false; ///< The connection ended before the answer did: the engine may have ended.
+        bool hasBrokenOff = false; ///< The connection closed before the response ended: the engine may have crashed.
     };
-    /// The process is told to leave; or, by an operator, to take no new work for now.
+    /// The process was asked to shut down: it takes no new work and ends when the work in progress has ended.
     struct Drain { };
     struct Tick { };
 
@@ -79,7 +79,7 @@
     struct ReleaseResult {
         std::string kvParams;
     };
-    /// Nothing is in progress any more after a Drain: the process may end.
+    /// No work is in progress after a Drain: the process may exit.
     struct Drained { };
 
     using Effect = std::variant<Send, StartCall, AbortCall, ReleaseResult, Drained, Note>;
--- a/src/request/sidecar/SidecarLogic.cpp
+++ b/src/request/sidecar/SidecarLogic.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// While work waits, chances change with time alone; look again this often.
+    /// Admission decisions on waiting work depend on the time; they are re-evaluated at this interval.
     constexpr Duration recheckInterval = 5ms;
 
 } // namespace
@@ -48,8 +48,8 @@
         sendAll(m_follower.onControllerUp(event.peer.id, now));
 }
 
-/// A gateway that is gone can't pass answers on. All it held is released, but a non-repeatable call that was sent runs on:
-/// its outcome is asked for by the resend.
+/// A disconnected gateway can't forward answers. All its work is released, except non-repeatable calls that have started:
+/// they run to completion, and a resend queries their outcome.
 void SidecarLogic::on(const sidecar::PeerDown& event, Instant now)
 {
     m_follower.onControllerDown(event.peer);
@@ -77,7 +77,7 @@
 
 void SidecarLogic::on(const sidecar::CallHead& event, Instant)
 {
-    auto* work = workOf(event.call);
+    auto* work = findWork(event.call);
     if (!work)
         return;
     work->answer.status = event.status;
@@ -88,7 +88,7 @@
 
 void SidecarLogic::on(const sidecar::CallData& event, Instant now)
 {
-    auto* work = workOf(event.call);
+    auto* work = findWork(event.call);
     if (!work)
         return;
     if (!work->ledgerKey.empty() && work->answer.body.size() <= m_options.keptAnswerLimit)
@@ -101,7 +101,7 @@
 
 void SidecarLogic::on(const sidecar::CallEnd& event, Instant now)
 {
-    if (auto* work = workOf(event.call)) {
+    if (auto* work = findWork(event.call)) {
         finish(*work, now);
         schedule(now);
     }
@@ -109,9 +109,9 @@
 
 void SidecarLogic::on(const sidecar::CallPrefilled& event, Instant now)
 {
-    auto* work = workOf(event.call);
+    auto* work = findWork(event.call);
     if (!work) {
-        // Cancelled while the answer was on its way: nobody will fetch the result, so free it at once.
+        // Cancelled before the prefill's answer arrived: no decode engine will fetch the result, so release it now.
         m_effects.push_back(sidecar::ReleaseResult { event.kvParams });
         return;
     }
@@ -126,7 +126,7 @@
 
 void SidecarLogic::on(const sidecar::CallFailed& event, Instant now)
 {
-    auto* work = workOf(event.call);
+    auto* work = findWork(event.call);
     if (!work)
         return;
     auto key = work->key;
@@ -165,7 +165,7 @@
 bool SidecarLogic::isDuplicate(PeerId from, std::uint64_t sequence, const WorkKey& key)
 {
     auto it = m_gateways.find(from);
-    // A message of a gateway that is not linked (any more) has nobody to answer to.
+    // The gateway is not (or no longer) connected, so no answer could be sent.
     if (it == m_gateways.end() || m_work.contains(key))
         return true;
     if (sequence <= it->second.covered && m_options.safeguards.dropsDuplicates)
@@ -251,8 +251,8 @@
         return;
     bool isForThisRun = m.incarnation == m_options.self || !m_options.safeguards.refusesOtherIncarnation;
     if (!isForThisRun || (!m.key.empty() && !m_ledger.admit(m.key, m.attempt))) {
-        // A dispatch for an earlier run, or of a sealed attempt: it must never run here.
-        note(EventCode::WorkRefused, key, isForThisRun ? "attempt is sealed" : "dispatch is for another run of this sidecar");
+        // Addressed to an earlier run of this sidecar, or of a sealed attempt: it must never run here.
+        note(EventCode::WorkRefused, key, isForThisRun ? "attempt is sealed" : "dispatch is addressed to another run of this sidecar");
         send(from, Refused { m.request, m.attempt, ResultCode::Superseded, minRetryAfter, load(from, now) });
         return;
     }
@@ -279,7 +279,7 @@
 {
     auto reply = m_ledger.seal(m);
     note(EventCode::AttemptSealed, { m.request, m.attempt },
-        reply.state == AdmissionState::NeverAdmitted ? "never admitted, sealed now" : "was admitted before");
+        reply.state == AdmissionState::NeverAdmitted ? "attempt sealed before admission" : "attempt was already admitted");
     send(from, std::move(reply));
 }
 
@@ -313,7 +313,7 @@
         report.occupied += holdsSlot ? 1 : 0;
     }
     const auto& cost = isDecode ? m_decode.startCost() : m_queue.cost();
-    // A transfer that stalls teaches the model only when it ends; what it has taken so far is known now.
+    // The cost model learns of a stalled transfer only when it ends; the time it has taken so far is a lower bound now.
     report.fixedCost = std::max(cost.fixed(), oldestStart);
     report.microsPerToken = cost.microsPerUnit();
     report.meanHold = isDecode ? m_decode.meanHold() : m_queue.meanHold();
@@ -338,7 +338,7 @@
 void SidecarLogic::announceAll(Instant now)
 {
     m_nextAnnounce = now + m_options.announceEvery;
-    // The forecasts in a report cost the most and are the same for all gateways.
+    // The predictions are the expensive part of a report and are the same for all gateways, so compute them once.
     auto report = load({}, now);
     for (const auto& [gateway, state] : m_gateways) {
         report.covered = state.covered;
--- a/src/request/sidecar/SidecarLogic.h
+++ b/src/request/sidecar/SidecarLogic.h
@@ -1,9 +1,9 @@
 /** \file
- * The decisions of a sidecar: the one authority over its upstream's slots, queue, keyed admissions and cancels.
+ * State machine of a sidecar: scheduling and admission for one upstream.
  *
- * Every gateway's work for the upstream passes here, so "urgent first", "at most once" and "no memory for a caller who
- * has gone" are questions of one table in one process. The object is a state machine: events and an instant go in,
- * effects come out; it does no I/O.
+ * Every gateway sends its work for the upstream through this sidecar, so priority order, at-most-once execution and the
+ * release of resources after a caller disconnects are decided by one table in one process. The state machine takes
+ * events and the current time and returns effects; it does no I/O.
  */
 #pragma once
 
@@ -21,7 +21,7 @@
 
 namespace wrenhinge {
 
-/// What a sidecar is told by its settings.
+/// A sidecar's part of the settings.
 struct SidecarOptions {
     PeerId self;
     std::string service;
@@ -29,17 +29,17 @@
     UpstreamKind kind = UpstreamKind::Plain;
     std::string model;
     std::uint32_t slots = 1;
-    Duration lease = 3s; ///< A gateway that hears nothing for this long stops using the upstream.
+    Duration lease = 3s; ///< A gateway that receives no announcement for this long stops using the upstream.
     Duration announceEvery = 100ms;
     Duration resultLife = 800ms; ///< How long the engine keeps a prefill's result.
-    std::size_t keptAnswerLimit = 16384;
+    std::size_t keptAnswerLimit = 16384; ///< Bytes; the ledger does not store a larger answer body.
     Safeguards safeguards;
-    LinearCost initialCost { 5ms, 50, 2000 }; ///< The cost of a prefill or plain call until it is learnt.
+    LinearCost initialCost { 5ms, 50, 2000 }; ///< Cost model of a prefill or plain call before any was measured.
 };
 
 class SidecarLogic {
 public:
-    /// A caller is told to come back after this long at least: a refusal is no invitation to ask again at once.
+    /// Lower bound of the retry delay in a refusal, so that refused callers do not retry immediately.
     static constexpr Duration minRetryAfter = 50ms;
 
     using Effects = std::vector<sidecar::Effect>;
@@ -47,20 +47,20 @@
     explicit SidecarLogic(SidecarOptions);
 
     Effects step(const sidecar::Event&, Instant now);
-    /// When the next Tick is due at the latest.
+    /// The latest time at which the next Tick is due.
     [[nodiscard]] Instant nextWake() const;
 
     [[nodiscard]] LoadReport load(PeerId gateway, Instant now) const;
     [[nodiscard]] std::size_t inProgress() const { return m_work.size(); }
     [[nodiscard]] bool isDraining() const;
     [[nodiscard]] const Configuration& configuration() const { return m_follower.configuration(); }
-    /// Whether the configuration is known to be no older than any that was in force here before.
+    /// Whether the configuration is known to be at least as new as every one that was applied here before.
     [[nodiscard]] bool isConfirmed() const { return m_follower.isConfirmed(); }
     [[nodiscard]] const SidecarOptions& options() const { return m_options; }
 
 private:
     struct Gateway {
-        std::uint64_t covered = 0;
+        std::uint64_t covered = 0; ///< Highest sequence number received from this gateway.
     };
 
     void on(const sidecar::PeerUp&, Instant);
@@ -98,7 +98,7 @@
     void finish(Work&, Instant);
     void observeTokens(Work&, std::uint32_t tokens, Instant);
     [[nodiscard]] Duration retryAfter(const Work&, Instant) const;
-    Work* workOf(CallId);
+    Work* findWork(CallId);
     void announce(PeerId, const LoadReport&);
     [[nodiscard]] std::uint64_t coveredFor(PeerId) const;
     void announceAll(Instant);
--- a/src/request/sidecar/SidecarScheduling.cpp
+++ b/src/request/sidecar/SidecarScheduling.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of SidecarLogic that serves: who waits, who starts, who is granted a slot, and who is refused.
+ * The scheduling part of SidecarLogic: queues, starts, grants, refuses and ends work.
  */
 #include "request/sidecar/SidecarLogic.h"
 
@@ -7,7 +7,7 @@
 
 namespace wrenhinge {
 
-// --- Service ----------------------------------------------------------------------------------------------------
+// --- Scheduling -------------------------------------------------------------------------------------------------
 
 void SidecarLogic::queueOrRefuse(Work& work, Instant now)
 {
@@ -19,7 +19,7 @@
     m_waiting.add(work);
     schedule(now);
     if (auto it = m_work.find(key); it != m_work.end() && it->second.stage == WorkStage::Queued)
-        note(EventCode::WorkQueued, key, "waiting: " + std::to_string(m_waiting.size()));
+        note(EventCode::WorkQueued, key, "queue length: " + std::to_string(m_waiting.size()));
 }
 
 void SidecarLogic::schedule(Instant now)
@@ -52,33 +52,33 @@
     for (const auto& key : expired) {
         auto& work = m_work.at(key);
         if (work.stage == WorkStage::HoldsResult) {
-            // Fetched or expired at the engine by itself; only our record of it ends here.
+            // The engine has freed the result after its fetch or expiry; only this record of it remains to be dropped.
             m_work.erase(key);
             continue;
         }
-        note(work.stage == WorkStage::Granted ? EventCode::GrantExpired : EventCode::ResultExpired, key, "no slot was used in time");
+        note(work.stage == WorkStage::Granted ? EventCode::GrantExpired : EventCode::ResultExpired, key, "no slot was used before expiry");
         refuse(key, ResultCode::Overloaded, now);
     }
 }
 
 void SidecarLogic::scheduleQueue(Instant now)
 {
-    QueueAdmission::WaitPredictor pass(m_queue, now);
+    QueueAdmission::WaitPredictor predictor(m_queue, now);
     for (const auto& [call, key] : m_calls)
-        pass.addRunning(m_work.at(key));
+        predictor.addRunning(m_work.at(key));
     for (const auto& key : m_waiting.keys()) {
         auto& work = m_work.at(key);
-        auto wait = pass.hasFreeSlot() ? Duration::zero() : pass.wait();
-        // A plain call has a deadline for its start, a prefill one for its end.
+        auto wait = predictor.hasFreeSlot() ? Duration::zero() : predictor.wait();
+        // The deadline of a plain call applies to its start, that of a prefill to its end.
         bool inTime = m_options.kind == UpstreamKind::Plain ? now + wait <= work.deadline : m_queue.canCompleteInTime(work, wait, now);
         if (!inTime) {
             refuse(key, ResultCode::DeadlineUnreachable, now);
-        } else if (pass.hasFreeSlot()) {
+        } else if (predictor.hasFreeSlot()) {
             m_waiting.remove(work);
             start(work, now);
-            pass.addRunning(work);
+            predictor.addRunning(work);
         } else {
-            pass.addWaiting(work);
+            predictor.addWaiting(work);
         }
     }
 }
@@ -101,7 +101,7 @@
 
 void SidecarLogic::startReady(Instant now)
 {
-    // What can still meet its target goes before what is late anyway.
+    // Work that can still meet its deadline starts before work that has already missed it.
     for (bool isLatePass : { false, true }) {
         for (const auto& key : m_ready.keys()) {
             if (!m_decode.mayStart(m_work))
@@ -150,7 +150,7 @@
     send(work.gateway, Refused { key.request, key.attempt, code, retryDelay, load(work.gateway, now) });
 }
 
-/// Ends work whose caller or gateway has gone, wherever it stands.
+/// Ends work in any stage because its gateway cancelled it or disconnected.
 void SidecarLogic::release(const WorkKey& key, Instant now)
 {
     auto it = m_work.find(key);
@@ -171,7 +171,7 @@
         m_ledger.withdraw(work.ledgerKey, key.attempt);
     m_waiting.remove(work);
     m_ready.remove(work);
-    note(EventCode::WorkReleased, key, "caller or gateway has gone");
+    note(EventCode::WorkReleased, key, "cancelled, or its gateway disconnected");
     m_work.erase(it);
 }
 
@@ -216,7 +216,7 @@
     return std::max(minRetryAfter, wait);
 }
 
-Work* SidecarLogic::workOf(CallId call)
+Work* SidecarLogic::findWork(CallId call)
 {
     auto it = m_calls.find(call);
     return it == m_calls.end() ? nullptr : &m_work.at(it->second);
--- a/src/request/sidecar/SlotForecast.cpp
+++ b/src/request/sidecar/SlotForecast.cpp
@@ -59,7 +59,8 @@
         return Duration::zero();
     if (needed > running.size())
         needed = static_cast<std::uint32_t>(running.size());
-    // More ends than run can't be expected; half an end below the count is reached in finite time.
+    // The expected number of completions reaches the number of running requests only asymptotically; half a completion less
+    // is reached in finite time.
     double wanted = needed - 0.5;
     Duration low {};
     Duration high = std::max<Duration>(model.meanHold, 10ms);
--- a/src/request/sidecar/SlotForecast.h
+++ b/src/request/sidecar/SlotForecast.h
@@ -1,13 +1,14 @@
 /** \file
- * Foretells when slots of a decode engine come free, from what its running requests have produced so far.
+ * Predicts when slots of a decode engine become free, from the progress of its running requests.
  *
- * How long an answer gets is not known; what is known is how long a request has run, how many tokens it may still
- * produce, and how long requests of its size held a slot before. A request that is near its token limit ends surely;
- * any other ends within T with the chance 1 - exp(-T / mean hold), since a long answer tells little about its end.
+ * The length of an answer is not known in advance. Known are how many tokens a request may still produce and the mean time
+ * that requests held a slot. A request that can reach its token limit within T ends with certainty; any other ends within T
+ * with probability 1 - exp(-T / mean hold time): the model is memoryless, since the time that an answer has taken tells
+ * little about when it ends.
  *
- * Worked example: 20 slots, all running, mean hold 5 s, none near its limit. Within 0.5 s each ends with the chance
- * 0.095, so 1.9 are expected free, with a variance of 1.7. One claim is met with the chance P(N >= 1) ~ 0.86
- * (normal approximation with continuity correction), three claims with about 0.32.
+ * Example: 20 slots, all running, a mean hold time of 5 s, none near its limit. Within 0.5 s each ends with probability
+ * 0.095, so the number N of free slots has the mean 1.9 and the variance 1.7. One needed slot becomes free with
+ * P(N >= 1) ~ 0.86, three needed slots with about 0.32 (normal approximation with continuity correction).
  */
 #pragma once
 
@@ -25,15 +26,16 @@
     std::uint32_t producedTokens = 0;
 };
 
+/// Parameters of the prediction, measured over recent requests.
 struct ForecastModel {
-    Duration meanHold {};
-    Duration tokenInterval {};
+    Duration meanHold {}; ///< Mean time that a request holds a slot.
+    Duration tokenInterval {}; ///< Mean time between tokens of a request.
 };
 
-/// The chance that at least `needed` of the running requests end within `horizon`.
+/// The probability that at least `needed` of the running requests end within `horizon`.
 double probabilityOfFreeing(std::span<const RunningSlot>, const ForecastModel&, std::uint32_t needed, Duration horizon);
 
-/// The time after which `needed` of them are expected to have ended.
+/// The time after which `needed` of the running requests are expected to have ended.
 Duration expectedTimeToFree(std::span<const RunningSlot>, const ForecastModel&, std::uint32_t needed);
 
 } // namespace wrenhinge
--- a/src/request/sidecar/UpstreamTable.cpp
+++ b/src/request/sidecar/UpstreamTable.cpp
@@ -9,11 +9,11 @@
     constexpr int failuresToEject = 3;
     constexpr Duration initialEjection = 500ms;
     constexpr Duration maxEjection = 30s;
-    constexpr std::size_t maxPastRuns = 4096;
+    constexpr std::size_t maxKnownRuns = 4096;
 
     std::string indexKey(const std::string& service, UpstreamKind kind) { return service + "/" + std::to_string(static_cast<int>(kind)); }
 
-    /// Spreads the bits of an identity or a prefix's hash (the finaliser of MurmurHash3).
+    /// Mixes the bits of an id or of a prefix's hash (the 64-bit finalizer of MurmurHash3).
     std::uint64_t mix(std::uint64_t x)
     {
         x ^= x >> 33;
@@ -47,11 +47,11 @@
         auto& group = m_groups[indexKey(message.service, message.kind)];
         group.members.push_back(&upstream);
         group.ring[mix(peer.id.value())] = &upstream;
-        m_pastRuns[peer.id] = { message.service, peer.name };
-        m_pastRunOrder.push_back(peer.id);
-        if (m_pastRunOrder.size() > maxPastRuns) {
-            m_pastRuns.erase(m_pastRunOrder.front());
-            m_pastRunOrder.pop_front();
+        m_knownRuns[peer.id] = { message.service, peer.name };
+        m_knownRunOrder.push_back(peer.id);
+        if (m_knownRunOrder.size() > maxKnownRuns) {
+            m_knownRuns.erase(m_knownRunOrder.front());
+            m_knownRunOrder.pop_front();
         }
     }
     upstream.leaseEnds = now + message.lease;
@@ -95,7 +95,8 @@
     return sequence;
 }
 
-/// A replica that fails is left alone for a while, longer each time; it returns with one chance before the next ejection.
+/// Ejects a replica after consecutive failures, for a time that doubles with each ejection. After its return the next
+/// failure ejects it again.
 UpstreamTable::Change UpstreamTable::recordFailure(PeerId id, Instant now)
 {
     auto it = m_upstreams.find(id);
@@ -104,10 +105,10 @@
     auto& upstream = it->second;
     if (++upstream.failures < failuresToEject)
         return Change::None;
-    auto pause = std::min(maxEjection, initialEjection * (1 << std::min(upstream.ejections, 10)));
+    auto ejectionTime = std::min(maxEjection, initialEjection * (1 << std::min(upstream.ejections, 10)));
     ++upstream.ejections;
     upstream.failures = failuresToEject - 1;
-    upstream.ejectedUntil = now + pause;
+    upstream.ejectedUntil = now + ejectionTime;
     return Change::Ejected;
 }
 
@@ -178,8 +179,8 @@
 
 bool UpstreamTable::isReplaced(PeerId old, const std::string& service) const
 {
-    auto former = m_pastRuns.find(old);
-    if (former == m_pastRuns.end() || m_upstreams.contains(old))
+    auto former = m_knownRuns.find(old);
+    if (former == m_knownRuns.end() || m_upstreams.contains(old))
         return false;
     return std::any_of(m_upstreams.begin(), m_upstreams.end(),
         [&](const auto& item) { return item.second.service == service && item.second.replica == former->second.replica; });
--- a/src/request/sidecar/Work.h
+++ b/src/request/sidecar/Work.h
@@ -1,5 +1,5 @@
 /** \file
- * The pieces of work that a sidecar holds for gateways, and the order in which the waiting ones are served.
+ * The work that a sidecar holds for gateways, and the priority queue of its waiting work.
  */
 #pragma once
 
@@ -26,10 +26,10 @@
 
 enum class WorkStage : std::uint8_t {
     Queued, ///< Waits for a grant (decode) or a start (prefill, plain).
-    Granted, ///< Decode: a slot is promised; the prefill runs.
-    Ready, ///< Decode: the prefill's result is there; waits for the slot.
-    Running, ///< The upstream works on it.
-    HoldsResult, ///< Prefill: ended; the engine keeps the result until it is fetched, released or expires.
+    Granted, ///< Decode: a slot is reserved; the prefill runs.
+    Ready, ///< Decode: the prefill's result is available; waits for a free slot.
+    Running, ///< The call to the upstream is in progress.
+    HoldsResult, ///< Prefill: done; the engine keeps the result until it is fetched, released or expires.
 };
 
 struct Work {
@@ -37,12 +37,12 @@
     PeerId gateway;
     Priority priority = Priority::Normal;
     WorkStage stage = WorkStage::Queued;
-    std::uint64_t arrivalOrder = 0; ///< Arrival count, which breaks ties in queues.
+    std::uint64_t arrivalOrder = 0; ///< Number in order of arrival; breaks ties in the queues.
     Instant arrived;
     Instant deadline; ///< Queued or Ready work that can't start by then is refused.
-    Instant stageExpiresAt; ///< Granted, Ready, HoldsResult: when the promise or the result lapses.
+    Instant stageExpiresAt; ///< Granted, Ready, HoldsResult: when the grant or the result expires.
     Instant started;
-    Duration leadTime {};
+    Duration leadTime {}; ///< Decode: predicted time from the grant to the end of prefill and transfer.
     double cost = 0; ///< Units of LinearCost: prompt tokens to compute; 0 for a plain call.
     std::uint32_t promptTokens = 0;
     std::uint32_t maxTokens = 0;
@@ -50,20 +50,20 @@
     Instant firstToken;
     Instant lastToken;
     std::uint64_t sentBytes = 0;
-    bool repeatable = true;
-    bool detached = false; ///< The gateway has gone, but the call can't be taken back: it runs on for its outcome.
+    bool repeatable = true; ///< Whether the call may safely be sent again.
+    bool detached = false; ///< Cancelled or without a gateway, but not repeatable: it runs to completion and its outcome is recorded.
     std::string ledgerKey;
-    KeptAnswer answer; ///< Keyed calls: gathered for the ledger.
+    KeptAnswer answer; ///< Keyed calls: collected for the ledger.
     std::string kvParams;
     UpstreamCall call;
 };
 
 using WorkTable = std::unordered_map<WorkKey, Work, WorkKeyHash>;
 
-/// Waiting work in order of service: by deadline, urgent ahead by a head start.
+/// Priority queue of waiting work: earliest deadline first, with the deadline of urgent work moved forward by a head start.
 ///
-/// The head start is finite on purpose: normal work whose deadline is that much older goes before new urgent work, so a
-/// stream of urgent requests can't starve it.
+/// The head start is finite so that a stream of urgent requests can't starve normal work: normal work whose deadline is
+/// earlier by more than the head start is served before urgent work.
 class WaitQueue {
 public:
     static constexpr Duration urgentHeadStart = 30s;
@@ -79,7 +79,7 @@
 
 private:
     struct Entry {
-        Instant rank;
+        Instant rank; ///< The deadline, minus the head start of urgent work.
         std::uint64_t arrivalOrder = 0;
         WorkKey key;
         auto operator<=>(const Entry&) const = default;
