--- a/test/correctness/EstimateTest.cpp
+++ b/test/correctness/EstimateTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * What is learnt and foretold: LinearCost, SlotForecast, PrefixIndex, HybridClock, Units.
+ * Tests of estimates and predictions (LinearCost, QueueAdmission, SlotForecast, PrefixIndex), of HybridClock and of Units.
  */
 #include "base/HybridClock.h"
 #include "base/Units.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A sidecar's table with so much running and waiting work, of different sizes, priorities and deadlines.
+/// A work table with the given numbers of running and waiting items, of different sizes, priorities and deadlines.
 WorkTable tableOf(std::uint64_t running, std::uint64_t waiting, Instant now)
 {
     WorkTable table;
@@ -34,33 +34,34 @@
 
 } // namespace
 
-TEST_CASE("a pass over the queue predicts for each work what its own prediction says")
+TEST_CASE("WaitPredictor predicts the same wait for each queued item as predictedWait")
 {
-    // Symptom: requests are held for a minute and then refused, though the engine is idle most of the time. Sequence: a burst queues some
-    // hundred prompts. Cause: each event had the wait of each predicted by a look at all of them, which took longer than a prefill.
+    // Guards the linear-time prediction that replaced one prediction for each queued item. After a burst queued some hundred prompts, each
+    // event predicted every item's wait from all the others, which took longer than a prefill: requests were held for a minute and then
+    // refused while the engine was idle most of the time.
     Instant now { std::chrono::seconds(1000) };
     for (std::uint32_t slots : { 1u, 3u }) {
         for (std::uint64_t running = 0; running <= slots; ++running) {
             QueueAdmission admission(slots, LinearCost(2ms, 20, 1000));
             auto table = tableOf(running, 60, now);
             WaitQueue order;
-            QueueAdmission::WaitPredictor pass(admission, now);
+            QueueAdmission::WaitPredictor predictor(admission, now);
             for (const auto& [key, work] : table) {
                 if (work.stage == WorkStage::Running)
-                    pass.addRunning(work);
+                    predictor.addRunning(work);
                 else
                     order.add(work);
             }
             for (const auto& key : order.keys()) {
                 const auto& work = table.at(key);
-                CHECK(pass.wait() == admission.predictedWait(table, work, now));
-                pass.addWaiting(work);
+                CHECK(predictor.wait() == admission.predictedWait(table, work, now));
+                predictor.addWaiting(work);
             }
         }
     }
 }
 
-TEST_CASE("LinearCost learns a line from observations of different sizes")
+TEST_CASE("LinearCost fits a line to observations of different sizes")
 {
     LinearCost cost(1ms, 1, 100);
     for (int i = 0; i < 300; ++i)
@@ -69,7 +70,7 @@
     CHECK(cost.fixed().count() == doctest::Approx(10000).epsilon(0.1));
 }
 
-TEST_CASE("LinearCost never promises work for less than nothing")
+TEST_CASE("LinearCost never estimates a negative time")
 {
     LinearCost cost(0ms, 1, 100);
     for (int i = 0; i < 100; ++i)
@@ -78,7 +79,7 @@
     CHECK(cost.estimate(10) >= Duration::zero());
 }
 
-TEST_CASE("LinearCost follows a replica that slows down")
+TEST_CASE("LinearCost adapts to a replica that slows down")
 {
     LinearCost cost(10ms, 0, 1);
     for (int i = 0; i < 60; ++i)
@@ -88,27 +89,27 @@
     CHECK(cost.estimate(0) > 80ms);
 }
 
-TEST_CASE("SlotForecast is sure of a request that is at its token limit")
+TEST_CASE("SlotForecast is certain that a request at its token limit ends")
 {
     RunningSlot slot { Instant(), 100, 99 };
     CHECK(probabilityOfFreeing({ &slot, 1 }, { 5s, 20ms }, 1, 20ms) == doctest::Approx(1));
 }
 
-TEST_CASE("SlotForecast gives the example of its header")
+TEST_CASE("SlotForecast reproduces the example in its header")
 {
     std::vector<RunningSlot> slots(20, RunningSlot { Instant(), 100000, 0 });
     CHECK(probabilityOfFreeing(slots, { 5s, 20ms }, 1, 500ms) == doctest::Approx(0.865).epsilon(0.01));
     CHECK(probabilityOfFreeing(slots, { 5s, 20ms }, 3, 500ms) == doctest::Approx(0.32).epsilon(0.1));
 }
 
-TEST_CASE("SlotForecast can't free more slots than run")
+TEST_CASE("SlotForecast never frees more slots than there are running requests")
 {
     std::vector<RunningSlot> slots(2, RunningSlot { Instant(), 100000, 0 });
     CHECK(probabilityOfFreeing(slots, { 1s, 20ms }, 3, 100s) == 0);
     CHECK(expectedTimeToFree({}, { 1s, 20ms }, 0) == Duration::zero());
 }
 
-TEST_CASE("SlotForecast expects more ends to take longer")
+TEST_CASE("SlotForecast expects a longer time for more completions")
 {
     std::vector<RunningSlot> slots(20, RunningSlot { Instant(), 100000, 0 });
     auto one = expectedTimeToFree(slots, { 5s, 20ms }, 1);
@@ -126,7 +127,7 @@
     CHECK(index.cachedTokens(blocks, PeerId(8)) == 0);
 }
 
-TEST_CASE("PrefixIndex unlearns what a reply contradicts, and a replica that is gone")
+TEST_CASE("PrefixIndex removes blocks after a correction, and all blocks of a lost replica")
 {
     PrefixIndex index;
     std::vector<std::uint64_t> blocks { 1, 2, 3 };
@@ -137,7 +138,7 @@
     CHECK(index.cachedTokens(blocks, PeerId(7)) == 0);
 }
 
-TEST_CASE("PrefixIndex stays within its bound")
+TEST_CASE("PrefixIndex evicts the oldest blocks beyond its limit")
 {
     PrefixIndex index(10);
     for (std::uint64_t i = 0; i < 100; ++i)
@@ -146,7 +147,7 @@
     CHECK(index.cachedTokens(std::vector<std::uint64_t> { 99 }, PeerId(1)) > 0);
 }
 
-TEST_CASE("HybridClock stamps a receipt later than its sending, also on a clock that lags")
+TEST_CASE("HybridClock stamps a receipt later than the send, even if the receiver's clock is behind")
 {
     HybridClock ahead;
     HybridClock behind;
@@ -156,7 +157,7 @@
     CHECK(received < behind.tick(20));
 }
 
-TEST_CASE("quantities carry their unit")
+TEST_CASE("quantities are parsed with their unit")
 {
     CHECK(parseDuration("570ms").value() == 570ms);
     CHECK(parseDuration("1.5s").value() == 1500ms);
@@ -166,7 +167,7 @@
     CHECK(formatDuration(570ms) == "570ms");
 }
 
-TEST_CASE("quantities without a unit, with a wrong one or out of range are refused")
+TEST_CASE("quantities without a unit, with a wrong unit or out of range are rejected")
 {
     for (const auto* text : { "", "570", "ms", "5 s", "-5s", "5x", "1e400s", "nan", "infs", "1e300h" })
         CHECK_MESSAGE(!parseDuration(text), text);
--- a/test/correctness/LedgerTest.cpp
+++ b/test/correctness/LedgerTest.cpp
@@ -1,5 +1,6 @@
 /** \file
- * At most once: AdmissionLedger at the sidecar, Ledger in the replicated state, and the messages that must not start work.
+ * Tests of at-most-once execution: AdmissionLedger at the sidecar, Ledger in the replicated state, and messages that must not
+ * start work.
  */
 #include "version/Ledger.h"
 #include "request/sidecar/AdmissionLedger.h"
@@ -74,7 +75,7 @@
     CHECK(!ledger.admit("k", Attempt(2)));
 }
 
-TEST_CASE("a sealed attempt is never admitted, the next one is")
+TEST_CASE("a sealed attempt is never admitted, but the next attempt is")
 {
     AdmissionLedger ledger(100);
     CHECK(ledger.seal({ request, "k", Attempt(1) }).state == AdmissionState::NeverAdmitted);
@@ -91,7 +92,7 @@
     CHECK(ledger.admit("k", Attempt(2)));
 }
 
-TEST_CASE("an answer is kept while small; a larger one leaves the mark that it ran")
+TEST_CASE("a small answer is kept; of a larger one only the fact that it ran")
 {
     AdmissionLedger ledger(4);
     ledger.admit("small", Attempt(1));
@@ -104,7 +105,7 @@
     CHECK(!reply.answer.complete);
 }
 
-TEST_CASE("of two intents with the same attempt one wins")
+TEST_CASE("of two intents with the same attempt only one is accepted")
 {
     Ledger ledger;
     RequestId other { PeerId(8), 1 };
@@ -114,7 +115,7 @@
     CHECK(ledger.intend({ "k", 6, Attempt(2), PeerId(1), other }).state == LedgerState::Mismatch);
 }
 
-TEST_CASE("an attempt can't be skipped, and nothing follows an outcome")
+TEST_CASE("attempt numbers can't be skipped, and no intent is accepted after an outcome")
 {
     Ledger ledger;
     ledger.intend({ "k", 5, Attempt(1), PeerId(1), request });
@@ -127,7 +128,7 @@
 
 TEST_CASE("a dispatch for another run of the sidecar is refused")
 {
-    // Symptom: a dispatch runs again after a restart. Sequence: it is sent to the former run and reaches the new one.
+    // Guards against a dispatch that runs twice: it is addressed to the previous run of a sidecar and delivered after its restart.
     auto logic = plainSidecar();
     logic.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
     auto effects = logic.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(6), 1) }, start);
@@ -141,14 +142,14 @@
     CHECK(count<sidecar::StartCall>(unguarded.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(6), 1) }, start)) == 1);
 }
 
-TEST_CASE("a message of a gateway that is not linked starts nothing")
+TEST_CASE("a message from a gateway that is not connected starts no work")
 {
     auto logic = plainSidecar();
     auto effects = logic.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(7), 1) }, start);
     CHECK(count<sidecar::StartCall>(effects) == 0);
 }
 
-TEST_CASE("a call that may not be repeated runs on when its gateway has gone")
+TEST_CASE("a non-repeatable call runs to completion after its gateway disconnects")
 {
     auto logic = plainSidecar();
     logic.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
@@ -158,10 +159,10 @@
     CHECK(logic.inProgress() == 1);
 }
 
-TEST_CASE("a piece of a former attempt is not passed on")
+TEST_CASE("a message of an earlier attempt is not forwarded to the caller")
 {
-    // Symptom: two attempts' answers are mixed. Sequence: the former attempt's piece comes after the second began at the
-    // same sidecar. Cause: messages are told apart by request alone.
+    // Guards against mixing the answers of two attempts: a message of the first attempt arrives after the second has started
+    // at the same sidecar, and messages are matched by request alone.
     for (bool checks : { true, false }) {
         Safeguards safeguards;
         safeguards.checksAttempts = checks;
--- a/test/correctness/LimitsTest.cpp
+++ b/test/correctness/LimitsTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Who may send how much: AccountLimits, RetryBudget; and who gets the work: UpstreamTable, Placement.
+ * Tests of limits (AccountLimits, RetryBudget) and of the choice of upstreams (UpstreamTable, Placement).
  */
 #include "request/sidecar/AccountLimits.h"
 #include "request/sidecar/Placement.h"
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("an account's rate refills with time")
+TEST_CASE("the rate limit of an account refills over time")
 {
     AccountLimits limits;
     AccountRules rules { 2.0, std::nullopt };
@@ -43,7 +43,7 @@
     CHECK(limits.acquire("b", rules, start));
 }
 
-TEST_CASE("an account's requests in progress are limited")
+TEST_CASE("the concurrent requests of an account are limited")
 {
     AccountLimits limits;
     AccountRules rules { std::nullopt, 1 };
@@ -53,7 +53,7 @@
     CHECK(limits.acquire("a", rules, start));
 }
 
-TEST_CASE("retries stay a share of successes")
+TEST_CASE("retries are limited to a share of successes")
 {
     RetryBudget budget;
     int taken = 0;
@@ -65,7 +65,7 @@
     CHECK(taken >= 90);
 }
 
-TEST_CASE("an outage can't use up more than the budget")
+TEST_CASE("retries without successes are limited to the initial budget")
 {
     RetryBudget budget;
     int taken = 0;
@@ -74,7 +74,7 @@
     CHECK(taken <= 4);
 }
 
-TEST_CASE("work that was sent after a report counts until a later report covers it")
+TEST_CASE("work sent after a load report counts until a later report covers it")
 {
     UpstreamTable table;
     announce(table, 1, UpstreamKind::Decode, 19);
@@ -90,7 +90,7 @@
     CHECK(second == first + 1);
 }
 
-TEST_CASE("an old report does not undo a newer one")
+TEST_CASE("an older load report does not replace a newer one")
 {
     UpstreamTable table;
     announce(table, 1, UpstreamKind::Decode);
@@ -102,7 +102,7 @@
     CHECK(table.find(PeerId(1))->load.occupied == 7);
 }
 
-TEST_CASE("a replica that fails three times is left alone for a while, longer each time")
+TEST_CASE("a replica is ejected after three failures, for longer each time")
 {
     std::mt19937_64 random(1);
     UpstreamTable table;
@@ -117,7 +117,7 @@
     CHECK(table.recordSuccess(PeerId(1)) == UpstreamTable::Change::Returned);
 }
 
-TEST_CASE("a sequence goes on when a lapsed lease is renewed on the same link")
+TEST_CASE("sequence numbers continue when an expired lease is renewed on the same link")
 {
     UpstreamTable table;
     announce(table, 1, UpstreamKind::Plain);
@@ -129,9 +129,9 @@
     CHECK(table.recordSent(PeerId(1), {}) == 2);
 }
 
-TEST_CASE("many gateways that see the same stale report don't rush to one replica")
+TEST_CASE("gateways with the same stale report spread their work over the replicas")
 {
-    // Symptom: the emptiest replica is flooded between two reports. Cause: every gateway picks the best of all.
+    // Guards against the overload of the least loaded replica between two reports, when every gateway picks the best of all replicas.
     std::map<PeerId, int> chosen;
     for (std::uint64_t gateway = 0; gateway < 100; ++gateway) {
         UpstreamTable table;
@@ -148,7 +148,7 @@
     CHECK(chosen.size() == 10);
 }
 
-TEST_CASE("gateways that know nothing agree where a prefix lives")
+TEST_CASE("gateways without cache information choose the same replica for a prefix")
 {
     std::optional<PeerId> first;
     for (std::uint64_t gateway = 0; gateway < 20; ++gateway) {
