--- a/src/request/sidecar/GatewayContext.h
+++ b/src/request/sidecar/GatewayContext.h
@@ -60,7 +60,7 @@
 
     std::string ledgerKey; ///< Set for a non-repeatable plain call that carries an idempotency key.
     std::uint64_t contentHash = 0; ///< Stored in the ledger to detect a key that is reused for another request.
-    KeptAnswer keptAnswer;
+    StoredResponse keptAnswer;
 
     bool headSent = false;
     std::uint64_t answerBytes = 0; ///< Sent to the caller so far.
--- a/src/request/sidecar/PlainFlow.cpp
+++ b/src/request/sidecar/PlainFlow.cpp
@@ -77,7 +77,7 @@
 /// The ledger holds an earlier attempt of this request, sent through this gateway or another.
 void PlainFlow::resolveEarlierAttempt(GatewayRequest& request, const LedgerView& ledger, Instant now)
 {
-    if (ledger.finished && ledger.outcome == AdmissionState::Finished)
+    if (ledger.finished && ledger.outcome == AttemptState::Finished)
         return replay(request, ledger.answer, now);
     if (ledger.finished)
         return failAsUnknownOutcome(request, now);
@@ -87,7 +87,7 @@
         // If the replica has restarted, its admission table is lost and the outcome stays unknown for good. One that is only
         // unreachable may reconnect and report it, so nothing is recorded then.
         if (m_context.upstreams.isReplaced(ledger.sidecar, request.caller.service))
-            recordOutcome(request, AdmissionState::Broken, {}, now);
+            recordOutcome(request, AttemptState::Interrupted, {}, now);
         return failAsUnknownOutcome(request, now);
     }
     request.phase = RequestPhase::AwaitingSeal;
@@ -100,23 +100,23 @@
     if (request.phase != RequestPhase::AwaitingSeal || from != request.upstream || reply.attempt != request.attempt)
         return;
     switch (reply.state) {
-    case AdmissionState::NeverAdmitted:
+    case AttemptState::NeverAdmitted:
         m_context.note(
             EventCode::AttemptSealed, request.id, "attempt " + std::to_string(reply.attempt.value()) + " never ran and is sealed");
         return place(request, now);
-    case AdmissionState::Running:
+    case AttemptState::Running:
         request.retryAfter = inProgressRetryAfter;
         return m_context.failRequest(request, ResultCode::InProgress, "this request is still running; retry later to get its answer", now);
-    case AdmissionState::Finished:
-        recordOutcome(request, AdmissionState::Finished, reply.answer, now);
+    case AttemptState::Finished:
+        recordOutcome(request, AttemptState::Finished, reply.answer, now);
         return replay(request, reply.answer, now);
-    case AdmissionState::Broken:
-        recordOutcome(request, AdmissionState::Broken, {}, now);
+    case AttemptState::Interrupted:
+        recordOutcome(request, AttemptState::Interrupted, {}, now);
         return failAsUnknownOutcome(request, now);
     }
 }
 
-void PlainFlow::replay(GatewayRequest& request, const KeptAnswer& answer, Instant now)
+void PlainFlow::replay(GatewayRequest& request, const StoredResponse& answer, Instant now)
 {
     if (!answer.complete)
         return m_context.failRequest(
@@ -179,14 +179,14 @@
     m_context.noteServed(request, now);
     if (isKeyed(request)) {
         bool isSmall = request.keptAnswer.body.size() <= keptAnswerLimit;
-        auto kept = isSmall ? request.keptAnswer : KeptAnswer { request.keptAnswer.status, {}, {}, false };
+        auto kept = isSmall ? request.keptAnswer : StoredResponse { request.keptAnswer.status, {}, {}, false };
         kept.complete = isSmall;
-        recordOutcome(request, AdmissionState::Finished, std::move(kept), now);
+        recordOutcome(request, AttemptState::Finished, std::move(kept), now);
     }
     m_context.answerEnd(request, now);
 }
 
-void PlainFlow::recordOutcome(const GatewayRequest& request, AdmissionState state, KeptAnswer answer, Instant now)
+void PlainFlow::recordOutcome(const GatewayRequest& request, AttemptState state, StoredResponse answer, Instant now)
 {
     m_context.note(EventCode::OutcomeRecorded, request.id, "attempt " + std::to_string(request.attempt.value()));
     OutcomeCommand outcome { request.ledgerKey, request.attempt, state, std::move(answer) };
@@ -215,7 +215,7 @@
     bool mayRepeat = !failed.mayHaveRun || request.rules.repeatable || !m_context.safeguards.neverRepeats;
     if (!mayRepeat) {
         if (isKeyed(request))
-            recordOutcome(request, AdmissionState::Broken, {}, now);
+            recordOutcome(request, AttemptState::Interrupted, {}, now);
         return failAsUnknownOutcome(request, now);
     }
     if (request.headSent || !m_context.retries.tryWithdraw(now)) {
--- a/src/request/sidecar/UpstreamTable.h
+++ b/src/request/sidecar/UpstreamTable.h
@@ -51,7 +51,7 @@
     void onLinkUp(PeerId);
     /// The link was closed; removes the upstream.
     void onLinkDown(PeerId);
-    Change announce(const Hello&, const Announce&, Instant now);
+    Change announce(const Hello&, const UpstreamAnnouncement&, Instant now);
     void remove(PeerId);
     /// Applies a load report, unless it covers less than the last one.
     void updateLoad(PeerId, const LoadReport&, Instant now);
--- a/src/request/sidecar/Work.h
+++ b/src/request/sidecar/Work.h
@@ -53,7 +53,7 @@
     bool repeatable = true; ///< Whether the call may safely be sent again.
     bool detached = false; ///< Cancelled or without a gateway, but not repeatable: it runs to completion and its outcome is recorded.
     std::string ledgerKey;
-    KeptAnswer answer; ///< Keyed calls: collected for the ledger.
+    StoredResponse answer; ///< Keyed calls: collected for the ledger.
     std::string kvParams;
     UpstreamCall call;
 };
