--- a/src/request/sidecar/GatewayLogic.cpp
+++ b/src/request/sidecar/GatewayLogic.cpp
@@ -9,7 +9,7 @@
 namespace {
 
     constexpr Duration tickInterval = 50ms;
-    /// While a proposal waits, its repeat must not be late.
+    /// Used while a proposal is pending, so that its retransmission is sent on time.
     constexpr Duration proposalTickInterval = 20ms;
     constexpr Duration crashExpiryInterval = 10s;
 
@@ -50,7 +50,7 @@
     auto caller = event.caller;
     caller.service = serviceOf(caller);
     if (m_isDraining)
-        return refuseNew(event.request, { ResultCode::Draining, "this gateway is leaving; send it to another one", 100ms });
+        return refuseNew(event.request, { ResultCode::Draining, "this gateway is shutting down; send the request to another one", 100ms });
     auto rules = rulesFor(caller.service);
     if (!rules)
         return refuseNew(event.request, rules.error());
@@ -69,7 +69,7 @@
     bool isGeneration = request.rules.kind == ServiceKind::Generation;
     request.startDeadline = now + (isGeneration ? request.rules.firstTokenTarget : request.rules.deadline);
     if (!isGeneration && !request.rules.repeatable && !caller.idempotencyKey.empty()) {
-        // Keys are the account's own: two accounts may use the same one.
+        // Idempotency keys are scoped to the account: two accounts may use the same one.
         request.ledgerKey = caller.account + "/" + caller.service + "/" + caller.idempotencyKey;
         request.contentHash = contentHashOf(caller);
     }
@@ -84,7 +84,8 @@
     withFlow(request, [&](auto& flow) { flow.begin(request, now); });
 }
 
-/// Callers of the OpenAI form name a model; it may be the service's own name or the name of a model that one serves.
+/// Resolves the name in a request to a service. Callers of the OpenAI API name a model, which may be the name of a service
+/// or of a model that a service runs.
 std::string GatewayLogic::serviceOf(const CallerRequest& caller) const
 {
     if (configuration().service(caller.service))
@@ -96,7 +97,7 @@
     return caller.service;
 }
 
-/// The rules of the configuration; a service that only announced itself is served by the defaults of its kind.
+/// The configured rules of a service, or the defaults of its kind if it is announced by an upstream but not configured.
 Result<ServiceRules> GatewayLogic::rulesFor(const std::string& service) const
 {
     if (const auto* rules = configuration().service(service))
@@ -107,7 +108,7 @@
         ServiceRules rules;
         bool isPlain = upstream.kind == UpstreamKind::Plain;
         rules.kind = isPlain ? ServiceKind::Plain : ServiceKind::Generation;
-        // Nothing says that a plain call may be repeated, so it may not.
+        // Without configuration a plain call is assumed to be unsafe to repeat.
         rules.repeatable = !isPlain;
         return rules;
     }
@@ -128,7 +129,7 @@
     auto& request = it->second;
     if (m_context.safeguards.cancelsForGoneCaller)
         withFlow(request, [&](auto& flow) { flow.cancel(request); });
-    m_context.note(EventCode::RequestCancelled, request.id, "the caller has gone");
+    m_context.note(EventCode::RequestCancelled, request.id, "the caller disconnected");
     m_context.close(request, ResultCode::Cancelled, now);
     checkDrained();
 }
@@ -145,7 +146,7 @@
     if (event.peer.role == Role::Controller) {
         m_context.controllers.onControllerUp(event.peer.id);
         m_context.sendAll(m_context.follower.onControllerUp(event.peer.id, now));
-        // It may have started again and know nothing.
+        // The controller may have restarted and lost its crash records.
         if (auto report = m_context.crashes.describeAll(CrashTracker::Status::Unknown, now); !report.isEmpty())
             m_context.send(event.peer.id, std::move(report));
     }
@@ -181,7 +182,7 @@
     std::visit(
         [&](const auto& message) {
             if constexpr (requires { message.load; })
-                m_context.upstreams.report(event.peer, message.load, now);
+                m_context.upstreams.updateLoad(event.peer, message.load, now);
             if constexpr (requires { onMessage(event.peer, message, now); })
                 onMessage(event.peer, message, now);
         },
@@ -201,7 +202,7 @@
         m_context.note(EventCode::UpstreamDraining, {}, it->second.name + " of " + message.service);
 }
 
-/// The request that a message is about, if it is still in progress and the message belongs to its present attempt.
+/// Finds the request that a message refers to; null if it has ended or the message belongs to another attempt.
 GatewayRequest* GatewayLogic::findCurrent(PeerId from, const RequestId& id, Attempt attempt)
 {
     auto it = m_context.requests.find(id);
@@ -337,7 +338,8 @@
 
 void GatewayLogic::checkDrained()
 {
-    // Outcomes still on their way to the ledger count as work: losing them would turn an answer into "unknown".
+    // Outcomes not yet recorded in the ledger delay the shutdown: losing one would turn an answered request into "outcome
+    // unknown" for a resend.
     if (!m_isDraining || m_reportedDrained || !m_context.requests.empty() || !m_context.controllers.empty())
         return;
     m_reportedDrained = true;
--- a/src/request/sidecar/LinearCost.cpp
+++ b/src/request/sidecar/LinearCost.cpp
@@ -48,7 +48,7 @@
         m_perUnit = 0;
         m_fixed = m_y / m_weight;
     } else if (m_fixed < 0) {
-        // A line below zero at small sizes would promise prefills for nothing: go through the origin instead.
+        // A negative fixed cost would predict zero or less for small prefills, so fit a line through the origin instead.
         m_fixed = 0;
         m_perUnit = m_xx > 0 ? std::max(0.0, m_xy / m_xx) : 0;
     }
