--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -224,7 +224,7 @@
     {
         if (auto* ask = std::get_if<document::Ask>(&effect))
             m_hub.send(ask->to, ask->request);
-        else if (auto* take = std::get_if<document::Take>(&effect))
+        else if (auto* take = std::get_if<document::Install>(&effect))
             onDocument(*take);
         else if (auto* confirm = std::get_if<document::Confirm>(&effect))
             post(forward::ConfirmDocument { confirm->version });
@@ -232,7 +232,7 @@
             m_runtime.log().write(*note);
     }
 
-    void onDocument(const document::Take& take)
+    void onDocument(const document::Install& take)
     {
         auto document = m_reader.read(*take.text);
         if (!document) {
--- a/src/process/Settings.cpp
+++ b/src/process/Settings.cpp
@@ -168,7 +168,7 @@
             controller.members.push_back(member);
         });
         node.list("seeds", controller.seeds, parseAddress);
-        node.optional("losses-to-bear", controller.lossesToBear, parseLosses);
+        node.optional("losses-to-bear", controller.toleratedFailures, parseLosses);
         node.optional("door", controller.door, parseAddress);
         node.optional("election-timeout", controller.electionTimeout, parsePositiveDuration);
         node.optional("heartbeat", controller.heartbeat, parsePositiveDuration);
@@ -183,7 +183,7 @@
         }
         if (controller.data.empty())
             node.missing("data");
-        if (controller.lossesToBear)
+        if (controller.toleratedFailures)
             node.mistake("losses-to-bear", "needs `seeds`: listed `members` don't change; list two for each loss and one more");
         auto isSelf = [&self](const MemberSettings& member) { return member.name == self; };
         if (std::count_if(controller.members.begin(), controller.members.end(), isSelf) != 1)
--- a/src/request/engine/EngineLoad.cpp
+++ b/src/request/engine/EngineLoad.cpp
@@ -4,7 +4,8 @@
 
 namespace wrenhinge {
 
-void EngineLoad::admit(const std::string& name, const EngineFacts& facts, std::uint32_t promptTokens, std::uint32_t tokens, Instant now)
+void EngineLoad::admit(
+    const std::string& name, const EngineProperties& facts, std::uint32_t promptTokens, std::uint32_t tokens, Instant now)
 {
     auto& service = m_services[name];
     service.facts = facts;
--- a/src/request/engine/EngineLoad.h
+++ b/src/request/engine/EngineLoad.h
@@ -33,7 +33,7 @@
     static constexpr double forgetFastest = 0.002;
 
     /// A request begins to run. \param tokens what it takes up of a decode replica's memory.
-    void admit(const std::string& service, const EngineFacts&, std::uint32_t promptTokens, std::uint32_t tokens, Instant now);
+    void admit(const std::string& service, const EngineProperties&, std::uint32_t promptTokens, std::uint32_t tokens, Instant now);
     /// A request that was admitted has ended. \param isServed whether its answer was whole.
     void leave(const std::string& service, Instant admittedAt, bool isServed, Instant now);
     /// A prefill replica has read a prompt.
@@ -45,7 +45,7 @@
 
 private:
     struct Service {
-        EngineFacts facts;
+        EngineProperties facts;
         double secondsPerToken = 0; ///< Of the fastest read.
         double endedSeconds = 0; ///< Of requests that have ended, however they did.
         double answers = 0; ///< Of these, the ones that were served.
--- a/src/request/forward/ForwardAccounts.cpp
+++ b/src/request/forward/ForwardAccounts.cpp
@@ -81,7 +81,7 @@
     const auto& quota = flow.account->quota;
     if (quota.unit == QuotaRule::Unit::Requests)
         return 1;
-    return flow.ask.statesTokens ? flow.ask.promptTokens + flow.ask.outputTokens : quota.plainTokens;
+    return flow.ask.statesTokens ? flow.ask.promptTokens + flow.ask.outputTokens : quota.defaultTokens;
 }
 
 /// Refuses a request beyond its account's quota, before a replica or what others wait for is touched. \returns false if it did.
--- a/src/request/forward/ForwardPlaces.cpp
+++ b/src/request/forward/ForwardPlaces.cpp
@@ -33,7 +33,7 @@
 bool ForwardLogic::waitForPlace(Flow& flow, Instant now)
 {
     const auto* rule = engineRule(flow);
-    if (!rule || rule->engine.placeHold <= Duration::zero() || !flow.ask.promptTokens)
+    if (!rule || rule->engine.reservationTimeout <= Duration::zero() || !flow.ask.promptTokens)
         return false;
     // Without any decode replica there is nothing to wait for.
     if (!m_replicas.hasReady(flow.service, UpstreamKind::Decode))
@@ -77,7 +77,7 @@
         m_effects.push_back(Reserve {
             room->sidecar, flow.id, flow.attempt, flow.ask.promptTokens, expectedTokensOf(flow), flow.ask.outputTokens, engine.slots });
     } else {
-        auto validFor = std::min(engine.placeHold, placeValidFor);
+        auto validFor = std::min(engine.reservationTimeout, placeValidFor);
         m_effects.push_back(TakePlace { flow.id, flow.attempt, choice.run, choice.address, tokensOf(flow), validFor });
     }
     scheduleCheck(flow);
@@ -187,7 +187,7 @@
 bool ForwardLogic::prefill(Flow& flow, Instant now)
 {
     const auto* rule = engineRule(flow);
-    if (!rule || rule->engine.promptHold <= Duration::zero() || !flow.ask.promptTokens)
+    if (!rule || rule->engine.kvRetention <= Duration::zero() || !flow.ask.promptTokens)
         return false;
     ReplicaTable::Need need;
     need.service = flow.service;
@@ -230,7 +230,7 @@
     flow->reader = flow->replica;
     flow->readerAddress = flow->replicaAddress;
     flow->source = PromptSource { flow->replica, flow->replicaAddress, event.handle };
-    flow->sourceEndsAt = now + engineRule(*flow)->engine.promptHold;
+    flow->sourceEndsAt = now + engineRule(*flow)->engine.kvRetention;
     runOrFail(*flow, now);
 }
 
--- a/src/version/Ledger.h
+++ b/src/version/Ledger.h
@@ -26,9 +26,9 @@
         MSGPACK_DEFINE(fingerprint, attempt, sidecar, request, finished, outcome, answer)
     };
 
-    LedgerView intend(const IntentCommand&);
+    LedgerView recordIntent(const IntentCommand&);
     /// Records how an attempt ended; a late outcome of another attempt, or a second one, changes nothing.
-    LedgerView conclude(const OutcomeCommand&);
+    LedgerView recordOutcome(const OutcomeCommand&);
 
     [[nodiscard]] const std::unordered_map<std::string, Entry>& entries() const { return m_entries; }
     void restore(std::unordered_map<std::string, Entry> entries) { m_entries = std::move(entries); }
--- a/test/correctness/LedgerTest.cpp
+++ b/test/correctness/LedgerTest.cpp
@@ -108,21 +108,21 @@
 {
     Ledger ledger;
     RequestId other { PeerId(8), 1 };
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(2), other }).state == LedgerState::Exists);
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
-    CHECK(ledger.intend({ "k", 6, Attempt(2), PeerId(1), other }).state == LedgerState::Mismatch);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(2), other }).state == LedgerState::Exists);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
+    CHECK(ledger.recordIntent({ "k", 6, Attempt(2), PeerId(1), other }).state == LedgerState::Mismatch);
 }
 
 TEST_CASE("an attempt can't be skipped, and nothing follows an outcome")
 {
     Ledger ledger;
-    ledger.intend({ "k", 5, Attempt(1), PeerId(1), request });
-    CHECK(ledger.intend({ "k", 5, Attempt(3), PeerId(1), request }).state == LedgerState::Exists);
-    ledger.conclude({ "k", Attempt(1), AdmissionState::Finished, { 200, {}, "x", true } });
-    CHECK(ledger.intend({ "k", 5, Attempt(2), PeerId(1), request }).state == LedgerState::Exists);
-    ledger.conclude({ "k", Attempt(1), AdmissionState::Broken, {} });
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).outcome == AdmissionState::Finished);
+    ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(3), PeerId(1), request }).state == LedgerState::Exists);
+    ledger.recordOutcome({ "k", Attempt(1), AdmissionState::Finished, { 200, {}, "x", true } });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(2), PeerId(1), request }).state == LedgerState::Exists);
+    ledger.recordOutcome({ "k", Attempt(1), AdmissionState::Broken, {} });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).outcome == AdmissionState::Finished);
 }
 
 TEST_CASE("a dispatch for another run of the sidecar is refused")
--- a/test/correctness/RunTest.cpp
+++ b/test/correctness/RunTest.cpp
@@ -447,7 +447,7 @@
     msgpack::type::tuple<std::string, std::string, std::string, std::string, std::string, std::uint32_t, ReplicaState, UpstreamKind,
         Duration, std::uint64_t>
         fields { former.id, former.service, former.address, former.zone, "v1", 4, former.state, former.kind, Duration(0), 40 };
-    REQUIRE(disk::replaceFile(at.folder.path(), "replicas", disk::sealRecord(encodeValue(std::vector { fields }))));
+    REQUIRE(disk::replaceFile(at.folder.path(), "replicas", disk::encodeRecord(encodeValue(std::vector { fields }))));
     auto remembered = ReplicaMemory(at.folder.path(), at.log, at.refusals).load();
     REQUIRE(remembered.size() == 1);
     CHECK(remembered.front().sequence == 40);
--- a/test/correctness/StageTest.cpp
+++ b/test/correctness/StageTest.cpp
@@ -194,7 +194,7 @@
 
 TEST_CASE("a gateway reports the work that it brings, not what waits at a slow or dark replica")
 {
-    EngineFacts facts { 64, 60000, 2s, 500ms, 6s };
+    EngineProperties facts { 64, 60000, 2s, 500ms, 6s };
     EngineLoad load;
     auto now = start;
     load.take(now);
@@ -225,7 +225,7 @@
 {
     // Symptom: decode replicas are ordered to the prefill stage seconds after a restart. Sequence: answers take 1 to 9 s; after 6 s
     // mostly short ones have ended, of 2.4 s on average. Cause: the mean of these was taken for the mean of all, 5 s.
-    EngineFacts facts { 64, 60000, 2s, 500ms, 6s };
+    EngineProperties facts { 64, 60000, 2s, 500ms, 6s };
     EngineLoad load;
     auto now = start;
     load.take(now);
--- a/test/fuzz/FuzzTest.cpp
+++ b/test/fuzz/FuzzTest.cpp
@@ -121,8 +121,8 @@
         require(route.maxAttempts > 0, "a route has an attempt");
     }
     for (const auto& service : document.services) {
-        requireSpan(service.engine.placeHold);
-        requireSpan(service.engine.promptHold);
+        requireSpan(service.engine.reservationTimeout);
+        requireSpan(service.engine.kvRetention);
         requireSpan(service.engine.stageChange);
     }
     requireSpan(document.limits.headerTime);
@@ -202,7 +202,7 @@
     // As it comes from a disk, and as another release may have written it.
     (void)ReplicaMemory::read(input, [](const std::string&) {});
     auto list = ReplicaMemory::read(
-        disk::sealRecord(input), [](const std::string& why) { require(!why.empty() && why.size() < 400, "a reason is given"); });
+        disk::encodeRecord(input), [](const std::string& why) { require(!why.empty() && why.size() < 400, "a reason is given"); });
     if (!list)
         return false;
     for (const auto& announcement : *list)
@@ -216,10 +216,10 @@
     static Folder folder;
     auto name = input.empty() || input[0] % 3 == 0 ? "log" : input[0] % 3 == 1 ? "snapshot" : "identity";
     auto bytes = input.empty() ? input : input.substr(1);
-    for (const auto& content : { bytes, disk::sealRecord(bytes) }) {
+    for (const auto& content : { bytes, disk::encodeRecord(bytes) }) {
         std::filesystem::remove_all(folder.file("data"));
         std::filesystem::create_directory(folder.file("data"));
-        std::ofstream(folder.file("data/identity"), std::ios::binary) << disk::sealRecord(encodeValue(DiskId(7)));
+        std::ofstream(folder.file("data/identity"), std::ios::binary) << disk::encodeRecord(encodeValue(DiskId(7)));
         std::ofstream(folder.file(std::string("data/") + name), std::ios::binary) << content;
         (void)disk::hasRecordAfter(content, 0);
         LogStorage storage;
@@ -274,7 +274,7 @@
 {
     Announcement a { "i-1", "app", "10.0.0.1:80", "z", "v1", 4, ReplicaState::Ready, UpstreamKind::Decode, 5ms, 9 };
     return { encodeValue(std::vector { a, a, a }), encodeValue(std::vector<Announcement> {}),
-        disk::sealRecord(encodeValue(std::vector { a })) };
+        disk::encodeRecord(encodeValue(std::vector { a })) };
 }
 
 /// Bytes that a controller writes itself, read back from its folder.
