--- a/src/version/ConfigFile.cpp
+++ b/src/version/ConfigFile.cpp
@@ -13,7 +13,7 @@
         return { ResultCode::BadConfiguration, file + ":" + std::to_string(mark.line + 1) + ": " + message };
     }
 
-    /// Flattens nested maps to `prefix/key/…` entries; each entry is validated where it stands, so that the error has a line.
+    /// Flattens nested maps to `prefix/key/…` entries; each entry is validated at its node, so that the error names its line.
     Result<void> flatten(const YAML::Node& node, const std::string& path, const std::string& file, Configuration::Entries& entries)
     {
         if (node.IsScalar()) {
--- a/src/version/ConfigFile.h
+++ b/src/version/ConfigFile.h
@@ -1,5 +1,5 @@
 /** \file
- * The configuration as operators write it: a YAML file whose maps become the flat entries of Configuration.
+ * The configuration file of operators: a YAML file whose maps become the flat entries of Configuration.
  *
  *     sites:
  *       ulemiste: { zones: [terminal-a, gate-pier, arrivals-hall] }
@@ -17,11 +17,11 @@
 
 namespace wrenhinge {
 
-/// The entries that a file describes, validated. The error names file, line and mend.
+/// Parses a file into validated entries. The error names the file, the line and a remedy.
 Result<Configuration::Entries> parseConfigFile(const std::string& text, const std::string& file);
 Result<Configuration::Entries> readConfigFile(const std::string& file);
 
-/// What turns `from` into `to`.
+/// The entries to put and to remove to turn one configuration into another.
 struct ConfigDifference {
     Configuration::Entries puts;
     std::vector<std::string> removes;
--- a/src/version/ConfigFollower.cpp
+++ b/src/version/ConfigFollower.cpp
@@ -37,7 +37,7 @@
     }
     m_isConfirmed = m_isConfirmed || (delta.confirmed && delta.to >= before);
     if (!m_configuration.applyDelta(delta)) {
-        // A newer one that doesn't follow on ours: something in between was missed.
+        // The delta is newer but not based on the current version: a change in between is missing.
         return delta.to > before ? Sends { { from, Watch { ConfigVersion() } } } : Sends();
     }
     return reportInForce();
@@ -50,7 +50,7 @@
         return {};
     m_configuration.applyDelta(*std::exchange(m_candidate, std::nullopt));
     auto sends = reportInForce();
-    // Deltas that came while the candidate waited could not be followed: ask for what they held.
+    // Deltas received in the meantime could not be applied without a version in force: ask for them again.
     for (auto controller : m_controllers)
         sends.emplace_back(controller, Watch { m_configuration.version() });
     return sends;
--- a/src/version/ConfigFollower.h
+++ b/src/version/ConfigFollower.h
@@ -1,13 +1,13 @@
 /** \file
- * Keeps one process's configuration up to date from the controllers, and never lets it step back.
+ * Keeps a process's configuration up to date from the controllers, with a version that never decreases.
  *
- * Versions are log indexes, so the highest is the newest, and a lower one is ignored whoever sends it. What a long-isolated
- * controller still believes can therefore delay a process but never take it back.
+ * Versions are log indexes, so the highest is the newest, and a lower one is ignored from any sender. Outdated state of a
+ * partitioned controller can therefore delay a process, but never revert it.
  *
- * A process that has just started knows no version and may have known a newer one before its restart than whoever answers
- * first. Its first version is therefore one that the leader gives after a majority confirmed its leadership. Where no
- * leader answers within `firstVersionTimeout`, the highest version among all peers is taken instead, and counts as unconfirmed until
- * a leader has confirmed it or a newer one: a site that is cut off must serve by some rules.
+ * A process that has just started has no version, and may have had a newer one before its restart than the first controller
+ * that answers. Its first version is therefore one that the leader sends after a majority has confirmed its leadership. If no
+ * leader answers within `firstVersionTimeout`, the highest version of all peers is used instead, and is unconfirmed until a
+ * leader has confirmed it or a newer one: a partitioned site must have some rules to serve with.
  */
 #pragma once
 
@@ -31,20 +31,21 @@
     {
     }
 
-    /// A controller was linked: ask it for what is newer than ours.
+    /// A controller has connected: asks it for newer versions.
     Sends onControllerUp(PeerId, Instant now);
     void onControllerDown(PeerId);
-    /// A gateway or sidecar was linked: each tells the other what it has, and the newer one passes its own on.
+    /// A gateway or sidecar has connected: both send their version, and the one with the newer version sends its configuration.
     Sends onPeerUp(PeerId, Instant now);
-    /// A peer asks for what is newer than its own.
+    /// A peer asks for versions newer than its own.
     [[nodiscard]] Sends onWatch(PeerId from, const Watch&) const;
-    /// Applies a delta; a gap is answered by asking for a snapshot. \returns what to send.
+    /// Applies a delta, or asks for a snapshot if changes in between are missing. \returns the messages to send.
     Sends onDelta(PeerId from, const ConfigDelta&);
-    /// Takes the best unconfirmed version once no leader has answered in time.
+    /// Uses the highest unconfirmed version if no leader has answered in time.
     Sends tick(Instant now);
 
     [[nodiscard]] const Configuration& configuration() const { return m_configuration; }
-    /// Whether a majority vouched that nothing newer had been accepted when this process first learnt a version.
+    /// Whether a leader, confirmed by a majority, has sent a version at least as new as the one held. Until then a version newer than the
+    /// first one used may have been accepted before.
     [[nodiscard]] bool isConfirmed() const { return m_isConfirmed; }
 
 private:
@@ -54,7 +55,7 @@
     bool m_neverStepsBack;
     Configuration m_configuration;
     bool m_isConfirmed = false;
-    std::optional<ConfigDelta> m_candidate; ///< The highest unconfirmed snapshot, while no version is in force.
+    std::optional<ConfigDelta> m_candidate; ///< The highest unconfirmed snapshot, as long as no version is in force.
     std::optional<Instant> m_startedAt;
     std::set<PeerId> m_controllers;
 };
--- a/src/version/Configuration.cpp
+++ b/src/version/Configuration.cpp
@@ -50,7 +50,7 @@
         return Error { ResultCode::BadConfiguration, "'" + value + "' is not generation or plain" };
     }
 
-    /// Stores a parsed value, or passes its error on.
+    /// Stores a parsed value, or returns its error.
     template <typename T, typename U> Result<void> store(T& field, Result<U> parsed)
     {
         if (!parsed)
@@ -192,7 +192,7 @@
         auto parts = split(path);
         if (parts.size() != 3)
             continue;
-        // Entries were validated before they were accepted; an unknown one comes from a newer version and is passed over.
+        // Entries were validated before they were accepted; an unknown one comes from a newer version and is ignored.
         if (parts[0] == "service")
             (void)setService(m_services[parts[1]], parts[2], value);
         else if (parts[0] == "account")
--- a/src/version/Configuration.h
+++ b/src/version/Configuration.h
@@ -1,12 +1,12 @@
 /** \file
- * The configuration that operators change: a flat map of entries, its version, and the rules read from it.
+ * The configuration that operators change: a flat map of entries, its version, and the rules parsed from it.
  *
- * A change is a set of entries to put and to remove, so that 29,000 changes a day travel as small deltas. An entry's
- * path says what it is about:
+ * A change is a set of entries to put and to remove, so that 29,000 changes a day are sent as small deltas. The path of an
+ * entry states what it configures:
  *
  *     site/<site>/zone/<zone>                    present           inventory
  *     replica/<service>/<replica>/zone           <zone>            inventory, from the asset register
- *     replica/<service>/<replica>/state          in-use|drain      operators drain a replica here
+ *     replica/<service>/<replica>/state          in-use|drain      operators drain a replica with this entry
  *     service/<service>/kind                     generation|plain
  *     service/<service>/urgent                   always|never|on-request
  *     service/<service>/repeatable               yes|no
@@ -31,14 +31,14 @@
 enum class ServiceKind : std::uint8_t { Generation, Plain };
 enum class UrgentRule : std::uint8_t { Never, OnRequest, Always };
 
-/// What the rules say about one service, with the defaults for what they don't.
+/// The rules of one service, with defaults for those that have no entry.
 struct ServiceRules {
     ServiceKind kind = ServiceKind::Generation;
     UrgentRule urgent = UrgentRule::OnRequest;
     bool repeatable = true;
     Duration firstTokenTarget = 570ms;
     Duration tokenIntervalTarget = 27ms;
-    Duration deadline = 10s; ///< Plain services: the longest wait for a start.
+    Duration deadline = 10s; ///< Plain services: the longest time that a request waits before it is started.
     double weightGoodput = 1;
     double weightWaste = 1;
 };
@@ -53,25 +53,25 @@
 public:
     using Entries = std::map<std::string, std::string>;
 
-    /// Checks that every entry has a known path and a value that fits it. The error names path and mend.
+    /// Checks that every entry has a known path and a valid value. The error names the path and a remedy.
     static Result<void> validate(const Entries& puts);
 
     [[nodiscard]] ConfigVersion version() const { return m_version; }
     [[nodiscard]] std::uint64_t number() const { return m_number; }
     [[nodiscard]] const Entries& entries() const { return m_entries; }
 
-    /// Applies a committed change as version `to`.
+    /// Applies a committed change, which results in version `to`.
     void apply(const ConfigCommand&, ConfigVersion to);
-    /// Follows a delta or snapshot. \returns false, and changes nothing, if it does not lead forward from here.
+    /// Applies a delta or snapshot. \returns false, without a change, if it is not newer or a delta is not based on the current version.
     bool applyDelta(const ConfigDelta&);
-    /// The whole configuration as a snapshot for a watcher.
+    /// The whole configuration, as a snapshot for a watcher.
     [[nodiscard]] ConfigDelta snapshot() const;
     void restore(ConfigVersion, std::uint64_t number, Entries);
 
     /// The rules of a service, or nullptr if no entry names it.
     [[nodiscard]] const ServiceRules* service(const std::string& name) const;
     [[nodiscard]] AccountRules account(const std::string& name) const;
-    /// Whether operators have drained this replica.
+    /// Whether operators drain this replica.
     [[nodiscard]] bool isDrained(const std::string& service, const std::string& replica) const;
 
 private:
--- a/src/version/ControllerClient.cpp
+++ b/src/version/ControllerClient.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    constexpr Duration noLeaderRetryDelay = 50ms; ///< An election takes some hundred milliseconds; asking faster only adds load.
+    constexpr Duration noLeaderRetryDelay = 50ms; ///< An election takes some hundred milliseconds; faster retries only add load.
 
 } // namespace
 
@@ -58,7 +58,7 @@
             continue;
         }
         if (now >= pending.resendAt) {
-            // No answer: the one we asked may be cut off or no leader any more, so ask the next.
+            // No reply: the controller may be partitioned or no longer the leader, so try the next one.
             m_leader.reset();
             sendTo(target(), proposal, pending, sends, now);
         }
--- a/src/version/ControllerClient.h
+++ b/src/version/ControllerClient.h
@@ -1,10 +1,10 @@
 /** \file
- * Gets commands committed by the controllers, whoever leads them at the moment.
+ * Proposes commands to the controllers, and retries them until the current leader commits them.
  *
- * A proposal may be lost, reach a follower, or be committed with its reply lost. Every command is idempotent by its own
- * ids, so the client simply repeats it, at the leader if one is known, else at each controller in turn, until a reply
- * decides it or its time is up. A proposal that timed out may still be committed later: its owner must not conclude from
- * a timeout that it was not.
+ * A proposal may be lost, reach a follower, or be committed while its reply is lost. Every command is idempotent by its own
+ * ids, so the client resends it, to the leader if it is known, otherwise to each controller in turn, until a reply decides it
+ * or its deadline has passed. A proposal that timed out may still be committed later: its owner must not conclude from a
+ * timeout that it was not committed.
  */
 #pragma once
 
@@ -21,7 +21,7 @@
 public:
     using Sends = std::vector<std::pair<PeerId, Message>>;
 
-    /// A decided proposal; without a reply its time ran out.
+    /// A completed proposal; without a reply it has timed out.
     struct Decided {
         RequestId owner;
         Command command;
@@ -32,11 +32,11 @@
 
     void onControllerUp(PeerId);
     void onControllerDown(PeerId);
-    /// Starts a proposal. `owner` comes back with the decision.
+    /// Starts a proposal. `owner` is returned with the result.
     Sends propose(Command, RequestId owner, Instant deadline, Instant now);
-    /// Takes a reply; a decided proposal is returned, otherwise `sends` may hold a repeat to the leader.
+    /// Handles a reply. \returns the proposal if it is decided; otherwise `sends` may contain a resend to the leader.
     std::optional<Decided> onReply(const ProposeReply&, Sends& sends, Instant now);
-    /// Repeats what has waited too long and gives up what is past its deadline.
+    /// Resends proposals without a timely reply, and returns those past their deadline.
     std::vector<Decided> tick(Sends& sends, Instant now);
     [[nodiscard]] const std::vector<PeerId>& linked() const { return m_controllers; }
     [[nodiscard]] bool empty() const { return m_pending.empty(); }
--- a/src/version/ControllerLogic.cpp
+++ b/src/version/ControllerLogic.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// Documents that wait at the leader for the one before them. Operators have a handful under way at once.
+    /// Limits the documents queued at the leader. Operators submit a handful at once.
     constexpr std::size_t maxQueuedDocuments = 16;
 
     raft::Settings withSnapshotCheck(raft::Settings settings)
@@ -67,14 +67,14 @@
             m_byName.erase(named);
         if (m_settings.isDynamic && !m_byName.contains(member->name))
             m_raft.removePeer(member->name);
-        // What it was asked may be lost with the link; whoever asked tries again.
+        // Requests forwarded over this link may be lost; their requesters retry.
         for (auto ticket : std::exchange(m_forwarded, {}))
             reply({ 0, {}, ticket, true }, notLeader());
     }
     m_peers.erase(event.peer);
 }
 
-/// The Hello of a peer that is a member of the controllers' group, or nullptr.
+/// The Hello of a peer that belongs to the controllers' cluster, or nullptr.
 const Hello* ControllerLogic::controllerAt(PeerId peer) const
 {
     auto it = m_peers.find(peer);
@@ -123,7 +123,7 @@
     propose(event.command, { 0, {}, event.ticket, true }, now);
 }
 
-/// The link to another controller that leads, or zero.
+/// The peer id of the leader if it is another, connected controller; otherwise zero.
 PeerId ControllerLogic::leaderPeer() const
 {
     auto it = m_byName.find(m_raft.leader());
@@ -146,14 +146,15 @@
     append(std::move(command), pending, now);
 }
 
-/// One document at a time is on its way through the log, so that each is a change of the one before it, which everybody holds.
+/// Only one document at a time is uncommitted in the log, so that each one is a change of its predecessor, which all members hold.
 void ControllerLogic::proposeDocument(DocumentCommand command, PendingProposal pending, Instant now)
 {
     const auto& document = m_state.document();
     if (m_documentQueue.size() >= maxQueuedDocuments)
         return reply(pending, notLeader());
     if (m_raft.hasUnappliedDocument() || !m_documentQueue.empty()) {
-        // By the time its turn comes the version that it is a change of is a former one: refused then, all that wait would be sent again.
+        // When it is proposed, its base version will have been replaced. Rejecting it then would make all queued documents be sent again,
+        // so it is converted to a whole text now.
         auto text = command.base && command.base == document.version() ? applyChange(document.text(), command.change) : std::nullopt;
         if (text)
             command = { command.version, std::move(*text), 0, {} };
@@ -215,7 +216,7 @@
         m_effects.push_back(controller::Send { pending.peer, std::move(reply) });
 }
 
-/// Leadership is gone: what was proposed may or may not be committed by the next leader. The proposers ask again; every
+/// Called when leadership is lost: the next leader may or may not commit the pending proposals. The proposers retry, since every
 /// command is idempotent.
 void ControllerLogic::rejectPendingProposals()
 {
@@ -314,7 +315,7 @@
     watcher.peer.id = peer;
     watcher.sentVersion = watch.have;
     watcher.askedAt = now;
-    // A process that knows nothing takes whatever we say for the newest, and may have known better before its restart.
+    // A process without a configuration would accept any version as the newest, and may have had a newer one before its restart.
     watcher.awaitsFirstSnapshot = watcher.needsConfirmation = watch.have == ConfigVersion();
     watcher.ticket = 0;
     if (watcher.awaitsFirstSnapshot)
@@ -323,13 +324,13 @@
         sendMissingChanges(watcher);
 }
 
-/// As the leader, has a majority confirm that our version is the newest, for those who asked from nothing.
+/// As the leader, starts a read that confirms the version held here as the newest, for watchers without a configuration.
 void ControllerLogic::confirmWatchers(Instant now)
 {
     auto needsRead = [](const auto& item) { return item.second.needsConfirmation && !item.second.ticket; };
     if (!m_raft.isLeader() || std::none_of(m_watchers.begin(), m_watchers.end(), needsRead))
         return;
-    // One read answers all who asked before it.
+    // One read covers all watchers that asked before it.
     Raft::Effects effects;
     auto ticket = m_raft.requestRead(effects, now);
     for (auto& [peer, watcher] : m_watchers) {
@@ -444,7 +445,7 @@
     if (std::holds_alternative<ReplaceDiskCommand>(entry.command))
         m_effects.push_back(Note { EventCode::DiskReplaced, {}, std::get<ReplaceDiskCommand>(entry.command).name });
     if (auto it = m_pendingProposals.find(entry.index); it != m_pendingProposals.end()) {
-        // Another leader's entry may have taken the place of the one that was proposed here.
+        // The entry at this index may be another leader's instead of the one proposed here.
         reply(it->second, it->second.term == entry.term ? std::move(answer) : notLeader());
         m_pendingProposals.erase(it);
     }
--- a/src/version/ControllerLogic.h
+++ b/src/version/ControllerLogic.h
@@ -1,7 +1,7 @@
 /** \file
- * The decisions of a controller: the replicated log, the state it builds, and the watchers that follow it.
+ * The logic of a controller: the replicated log, the state machine that applies it, and the watchers that receive its changes.
  *
- * A state machine without I/O. It takes events in batches, so that the proposals that came in while the disk was busy
+ * A state machine without I/O. It processes events in batches, so that all proposals received while the disk was busy
  * share one write and one round of messages.
  */
 #pragma once
@@ -27,18 +27,19 @@
     struct LocalPropose {
         std::uint64_t ticket = 0;
         Command command;
-        /// Another controller that leads gets the whole text, not a change of the version here, which it had overtaken several times.
+        /// If another controller leads, it is sent the whole text instead of a change against the version held here, because that version
+        /// was older than the leader's in several attempts.
         bool sendsWholeText = false;
     };
-    /// A linearizable read from this process itself. The reply is a LocalReply; its code is Ok once the state held here is new
-    /// enough to answer from.
+    /// A linearizable read from this process itself. The reply is a LocalReply; its code is Ok once the state of this controller is
+    /// new enough to answer the read.
     struct LocalRead {
         std::uint64_t ticket = 0;
     };
     struct Tick { };
     using Event = std::variant<PeerUp, PeerDown, FromPeer, LocalPropose, LocalRead, Tick>;
 
-    // Effects. Persist and SaveSnapshot must be durable before any later effect is carried out.
+    // Effects. Persist and SaveSnapshot must be durable before any later effect is performed.
     struct Send {
         PeerId to;
         Message message;
@@ -57,10 +58,10 @@
 
     /// The log is compacted when it holds more entries than this, or more bytes of routing documents.
     static constexpr std::size_t compactAboveEntries = 4096;
-    /// Documents are in the log as changes; only a large one that is new altogether takes its whole size, up to a megabyte.
+    /// The log contains documents as changes; only one that differs entirely from its predecessor takes its whole size, up to a megabyte.
     static constexpr std::size_t compactAboveBytes = 4u << 20;
-    /// A process that knows no configuration is answered at once only by a leader that a majority confirms; any other
-    /// controller may be behind or cut off and lets it wait this long for a better answer.
+    /// A process without a configuration gets an immediate answer only from a leader that a majority has confirmed. Any other
+    /// controller may be behind or partitioned, and delays its answer by this time so that the leader can answer first.
     static constexpr Duration unconfirmedReplyDelay = 2s;
 
     struct Watcher {
@@ -68,9 +69,9 @@
         ConfigVersion sentVersion;
         ConfigVersion inForce;
         Instant inForceSince;
-        bool awaitsFirstSnapshot = false; ///< Asked from nothing and has no answer yet.
-        bool needsConfirmation = false; ///< Asked from nothing and no leader has confirmed its version yet.
-        std::uint64_t ticket = 0; ///< The read that will confirm it; zero: none is under way.
+        bool awaitsFirstSnapshot = false; ///< The watcher has no configuration and was not answered yet.
+        bool needsConfirmation = false; ///< The watcher started without a configuration, and no leader has confirmed its version yet.
+        std::uint64_t ticket = 0; ///< The read that will confirm it; zero: none is in progress.
         Instant askedAt;
     };
 
@@ -83,7 +84,7 @@
     [[nodiscard]] const ControllerState& state() const { return m_state; }
     [[nodiscard]] const Raft& raft() const { return m_raft; }
     [[nodiscard]] const std::map<PeerId, Watcher>& watchers() const { return m_watchers; }
-    /// The admin address of the present leader, if it is known and another process.
+    /// The admin address of the current leader, if it is known and another process.
     [[nodiscard]] std::string leaderAdminAddress() const;
 
 private:
@@ -93,17 +94,17 @@
         std::uint64_t proposal = 0;
         bool isLocal = false;
     };
-    /// Who waits for a read round of this leader: a peer, or this process itself.
+    /// The requester of a read at this leader: a peer, or this process itself.
     struct ReadRequester {
         PeerId peer;
         std::uint64_t ticket = 0;
     };
-    /// A read of this process that the leader confirmed for an index which is not applied here yet.
+    /// A read of this process that the leader has confirmed at an index that may not be applied here yet.
     struct PendingRead {
         std::uint64_t ticket = 0;
         std::uint64_t index = 0;
     };
-    /// A document that waits until the one before it is applied: it is then made a change of that one.
+    /// A document that is proposed, as a change of the previous document, once that one is applied.
     struct QueuedDocument {
         DocumentCommand command;
         PendingProposal pending;
@@ -147,8 +148,8 @@
     std::map<std::string, PeerId> m_byName;
     std::map<PeerId, Watcher> m_watchers;
     std::map<std::uint64_t, PendingProposal> m_pendingProposals; ///< By log index.
-    std::set<std::uint64_t> m_forwarded; ///< Tickets of this process's proposals and reads that the leader was asked for.
-    std::map<std::uint64_t, std::vector<ReadRequester>> m_readRequesters; ///< By the read's ticket at the log.
+    std::set<std::uint64_t> m_forwarded; ///< Tickets of proposals and reads of this process that were forwarded to the leader.
+    std::map<std::uint64_t, std::vector<ReadRequester>> m_readRequesters; ///< By the ticket of the read in Raft.
     std::vector<PendingRead> m_pendingReads;
     DocumentSource m_documentSource;
     std::deque<QueuedDocument> m_documentQueue;
--- a/src/version/ControllerState.cpp
+++ b/src/version/ControllerState.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    /// What a snapshot holds, in the order of its fields.
+    /// The content of a snapshot. It is encoded by position.
     struct SavedState {
         ConfigVersion version;
         std::uint64_t number = 0;
@@ -39,7 +39,7 @@
     ProposeReply reply;
     auto isSame = [&command](const ConfigChange& change) { return change.command.changeId == command.changeId; };
     if (auto it = std::find_if(m_history.begin(), m_history.end(), isSame); it != m_history.end() && m_safeguards.recognisesResends) {
-        // A resend after a lost answer gets the first answer; the same id with other content is another change.
+        // A resend after a lost reply gets the original reply; the same id with other content is a different change.
         reply.number = it->version.value();
         if (!hasSameContent(it->command, command)) {
             reply.code = ResultCode::ConfigConflict;
@@ -113,13 +113,13 @@
     return {};
 }
 
-/// The highest version wins. One that is not higher is overtaken: it is accepted too, since its author has nothing to mend,
-/// and changes nothing; other content under the version in force therefore never takes effect.
+/// The highest version takes effect. A version that is not higher is accepted without effect, since its author has nothing to
+/// correct; other content under the version in force therefore never takes effect.
 ProposeReply ControllerState::applyCommand(const DocumentCommand& command, std::uint64_t)
 {
     ProposeReply reply;
     if (m_document.apply(command) == DocumentHistory::Outcome::BaseMismatch) {
-        // Another document was committed between its making and its commitment; its author's text is taken anew.
+        // Another document was committed between the proposal and its commit; the author's text must be proposed again.
         reply.code = ResultCode::ConfigUnavailable;
         reply.text = "the change was made against version " + std::to_string(command.base) + ", version "
             + std::to_string(m_document.version()) + " is in force; try again";
--- a/src/version/ControllerState.h
+++ b/src/version/ControllerState.h
@@ -1,7 +1,7 @@
 /** \file
- * The state that the log builds: configuration with its history, the ledger, and fencing tokens.
+ * The replicated state machine: configuration and its history, routing document, ledger, fencing tokens, and membership.
  *
- * Deterministic: every controller that applies the same entries holds the same state and gives the same replies.
+ * Deterministic: every controller that applies the same entries has the same state and returns the same replies.
  */
 #pragma once
 
@@ -31,24 +31,24 @@
     {
     }
 
-    /// Changes kept for history, for deltas to watchers, and for recognising resends.
+    /// Number of changes kept for the history, for deltas to watchers, and for recognising resends.
     static constexpr std::size_t historyLimit = 1000;
 
-    /// Applies a committed entry. \returns the reply for whoever proposed it.
+    /// Applies a committed entry. \returns the reply to its proposer.
     ProposeReply apply(const LogEntry&);
 
     [[nodiscard]] const Configuration& configuration() const { return m_configuration; }
     [[nodiscard]] const std::deque<ConfigChange>& history() const { return m_history; }
     [[nodiscard]] const Ledger& ledger() const { return m_ledger; }
     [[nodiscard]] const std::map<std::string, DiskId>& disks() const { return m_disks; }
-    /// The members of the log, if the log holds them.
+    /// The members of the log, if the log contains a list of them.
     [[nodiscard]] const std::vector<std::string>& members() const { return m_members; }
-    /// The availability zones of the controllers whose disks were registered, as far as they are known.
+    /// The availability zones of the controllers with registered disks, as far as known.
     [[nodiscard]] const std::map<std::string, std::string>& zones() const { return m_zones; }
     /// The routing document in force; version zero: none yet.
     [[nodiscard]] const DocumentHistory& document() const { return m_document; }
 
-    /// The whole state as bytes, and back. \returns false if the bytes are not a state.
+    /// Serializes the whole state, and restores it. \returns false if the bytes are not a serialized state.
     [[nodiscard]] std::string save() const;
     bool load(const std::string& bytes);
     [[nodiscard]] static bool canLoad(const std::string& bytes);
--- a/src/version/DiskFile.cpp
+++ b/src/version/DiskFile.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-    /// Opens each record, so that a search for whole records behind a torn one tries few places: trying every byte as a length
-    /// hashes the rest of the log thousands of times, and a controller that restarts after a power loss took minutes.
+    /// Starts each record, so that the search for valid records after a torn one checks few offsets. Without it each byte was tried as a
+    /// length, which hashed the rest of the log thousands of times, and a controller took minutes to restart after a power loss.
     constexpr std::string_view recordMagic = "WhLg";
     static_assert(recordHeaderBytes == recordMagic.size() + sizeof(std::uint32_t) + sizeof(std::uint64_t));
     constexpr std::uint32_t maxRecordBytes = 256u << 20;
--- a/src/version/DocumentFollower.cpp
+++ b/src/version/DocumentFollower.cpp
@@ -59,12 +59,12 @@
         return extendReplyTimeout();
     if (part.bytes.empty() || part.total > maxTransferBytes)
         return abandonTransfer();
-    // The controller may begin with something newer than what was asked for.
+    // The controller may start a transfer of a newer version than the requested one.
     if (part.offset == 0 && part.version > transfer.request.version) {
         transfer.request.version = part.version;
         transfer.bytes.clear();
     }
-    // An answer that had been given up on may still come beside the one to the second request.
+    // A late reply to an abandoned request may arrive in addition to the reply to the current one.
     if (part.version != transfer.request.version || part.offset != transfer.bytes.size())
         return extendReplyTimeout();
     transfer.bytes += part.bytes;
@@ -81,7 +81,7 @@
     m_replyTimeout = replyTimeout;
     auto steps = decodeValue<std::vector<DocumentStep>>(transfer.bytes);
     if (!steps || !apply(*steps)) {
-        // Never seen; without this a text that differs from the controllers' would stay until a restart.
+        // Never observed. Without this a text that differs from the controllers' would remain until a restart.
         m_effects.push_back(Note { EventCode::DocumentRefused, {},
             "the steps from version " + std::to_string(transfer.request.held) + " to " + std::to_string(transfer.request.version)
                 + " don't fit; the whole is asked for" });
@@ -133,14 +133,14 @@
     ask(peers[chosen], m_transfer->request, now);
 }
 
-/// Another controller is asked, if another offers as much.
+/// Ends the transfer; the next one uses another controller if one offers the same version.
 void DocumentFollower::abandonTransfer()
 {
     m_lastFailed = m_transfer->from;
     m_transfer.reset();
 }
 
-/// Whoever had been asked was not gone: links are slower than was waited for.
+/// Called for a late reply: the controller was available, but the link is slower than the timeout allows.
 void DocumentFollower::extendReplyTimeout() { m_replyTimeout = std::min(m_replyTimeout * 2, maxReplyTimeout); }
 
 void DocumentFollower::ask(PeerId to, DocumentRequest request, Instant now)
--- a/src/version/DocumentFollower.h
+++ b/src/version/DocumentFollower.h
@@ -1,13 +1,15 @@
 /** \file
- * How a gateway keeps up with the routing document: controllers offer versions, it asks one of them for what it lacks, part by part.
+ * Keeps a gateway's routing document up to date: controllers offer versions, and the gateway requests the missing changes from one of
+ * them, part by part.
  *
- * One request is under way at a time, so a slow link carries one part and not each version that came meanwhile; what was overtaken
- * before it was asked for is never sent. It never goes back: a controller that was cut off may offer an older version.
+ * Only one request is outstanding at a time, so that a slow link carries one part and not every intermediate version; a version that is
+ * superseded before it is requested is never sent. The version never decreases: an older one, which a partitioned controller may offer,
+ * is ignored.
  *
- * What is held is *current* if it is as new as the newest version that a controller, hearing its leader, has offered since this process
- * started. Example: after a start a controller that is cut off offers version 4, not as the newest, and it is taken; another
- * offers 6 as the newest: 4 stays unconfirmed, 6 is asked for, and is current when it is here. Had 4 been offered as the newest
- * before 6 was accepted, it would have been current, and would stay so while 6 is on its way.
+ * The document held is *current* if it is at least as new as every version that a controller in contact with its leader has offered as
+ * the newest since this process started. Example: after a start a partitioned controller offers version 4, not as the newest, and it is
+ * installed; another one offers 6 as the newest: 4 stays unconfirmed, 6 is requested, and is current once it is installed. Had 4 been
+ * offered as the newest before 6 was accepted, it would have been current, and would remain so during the transfer of 6.
  *
  * A state machine without I/O: `step(event, now)` returns effects.
  */
@@ -27,24 +29,25 @@
 
 namespace document {
 
-    // Events. FromPeer's message is a DocumentOffer or a DocumentPart; others are passed by.
+    // Events. FromPeer's message is a DocumentOffer or a DocumentPart; other messages are ignored.
     using wrenhinge::FromPeer;
     using wrenhinge::PeerDown;
     struct Tick { };
     using Event = std::variant<FromPeer, PeerDown, Tick>;
 
     // Effects.
+    /// Sends a request to a controller.
     struct Ask {
         PeerId to;
         DocumentRequest request;
     };
-    /// A newer version is held.
+    /// A newer version was received and must be installed.
     struct Install {
         std::uint64_t version = 0;
         std::shared_ptr<const std::string> text;
-        bool isCurrent = false; ///< As new as what was once offered as the newest since this process started.
+        bool isCurrent = false; ///< At least as new as every version offered as the newest since this process started.
     };
-    /// The version that is held is as new as what was just offered as the newest.
+    /// The version held is at least as new as the one just offered as the newest.
     struct Confirm {
         std::uint64_t version = 0;
     };
@@ -56,16 +59,16 @@
 public:
     using Effects = std::vector<document::Effect>;
 
-    /// A controller that does not answer for this long may be gone; another one is asked. Parts of 64 KB take 52 ms on a link of 10 Mbit/s;
-    /// 29 gateways that ask one controller at once, on 100 Mbit/s, wait for 150 ms.
+    /// If a controller does not reply within this time, another one is asked. Parts of 64 KB take 52 ms on a link of 10 Mbit/s; 29 gateways
+    /// that ask one controller at once, on a link of 100 Mbit/s, wait for 150 ms.
     static constexpr Duration replyTimeout = 1s;
-    /// Each answer that comes after its controller was given up doubles the limit, up to this, until a transfer is whole. With one limit
-    /// a gateway whose answers take longer begins anew for ever, and what it asks for in vain fills its link.
+    /// Each reply that arrives after its timeout doubles the timeout, up to this limit, until a transfer is complete. With a fixed timeout
+    /// a gateway with slower replies would restart its transfer for ever, and the unused replies would fill its link.
     static constexpr Duration maxReplyTimeout = 8s;
-    /// A longer document is none.
+    /// Longer transfers are rejected.
     static constexpr std::size_t maxTransferBytes = 64u << 20;
 
-    /// \param seed spreads the gateways over the controllers.
+    /// \param seed makes the choice of a controller differ between gateways.
     explicit DocumentFollower(std::uint64_t seed)
         : m_random(seed)
     {
@@ -76,7 +79,7 @@
     [[nodiscard]] std::uint64_t version() const { return m_version; }
 
 private:
-    /// What was asked for, and what of it has come.
+    /// The request in progress and the bytes received so far.
     struct Transfer {
         PeerId from;
         DocumentRequest request;
@@ -98,12 +101,12 @@
 
     std::uint64_t m_version = 0;
     std::shared_ptr<const std::string> m_text = std::make_shared<const std::string>();
-    std::uint64_t m_newestOffered = 0; ///< The highest version that was offered as the newest.
+    std::uint64_t m_newestOffered = 0; ///< The highest version offered as the newest.
     std::map<PeerId, std::uint64_t> m_offers;
     std::optional<Transfer> m_transfer;
     Duration m_replyTimeout = replyTimeout;
-    PeerId m_lastFailed; ///< It did not answer, or not what was asked; asked again only if there is no other.
-    bool m_needsWhole = false; ///< Steps did not fit what is held here.
+    PeerId m_lastFailed; ///< The last controller that did not reply or sent unusable changes; asked again only if there is no other.
+    bool m_needsWhole = false; ///< The steps received did not apply to the document held.
     std::mt19937_64 m_random;
     Effects m_effects;
 };
--- a/src/version/DocumentHistory.cpp
+++ b/src/version/DocumentHistory.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-    /// Changes are kept while they take up to this part of the text: whoever lacks more than that is as well served by the whole.
+    /// Changes are kept up to the size of the text divided by this: a gateway that lacks more is served as well by the whole text.
     constexpr std::size_t textToStepsRatio = 2;
-    /// Each change is applied by a copy of the text and a look at all of it: some 0.2 ms of a core for a megabyte. Thousands of small ones,
-    /// which the bound above allows, would hold a gateway up for seconds.
+    /// Applying a change copies and scans the whole text: some 0.2 ms of a core for a megabyte. Thousands of small changes, which the limit
+    /// above allows, would block a gateway for seconds.
     constexpr std::size_t maxStepsKept = 64;
 
 } // namespace
@@ -53,7 +53,7 @@
 
 DocumentCommand DocumentHistory::commandFor(std::uint64_t version, const std::string& text) const
 {
-    // One that is overtaken already changes nothing, so its text need not travel.
+    // A stale version has no effect, so its text need not be sent.
     if (version <= m_version)
         return { version, {}, 0, {} };
     if (m_version) {
--- a/src/version/DocumentHistory.h
+++ b/src/version/DocumentHistory.h
@@ -1,7 +1,7 @@
 /** \file
- * The routing document in force as a controller holds it: one copy of its text, and the latest changes that led to it.
+ * The routing document in force at a controller: one copy of its text, and the latest changes that led to it.
  *
- * Deterministic: controllers that apply the same commands in the same order hold the same text.
+ * Deterministic: controllers that apply the same commands in the same order have the same text.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace wrenhinge {
 
-/// How one version of the document becomes the next one; `from` zero: the whole text is new.
+/// The change from one version of the document to the next; `from` zero: the change contains the whole text.
 struct DocumentStep {
     std::uint64_t from = 0;
     std::uint64_t to = 0;
@@ -24,19 +24,20 @@
 public:
     enum class Outcome : std::uint8_t {
         Applied,
-        Stale, ///< A version that is not higher changes nothing.
-        BaseMismatch, ///< It is a change of another text than the one here.
+        Stale, ///< The version is not higher than the current one; nothing is changed.
+        BaseMismatch, ///< The command is a change of another version than the current one.
     };
 
     Outcome apply(const DocumentCommand&);
-    /// Sets the document without knowing what led to it.
+    /// Sets the document without its history of changes.
     void restore(std::uint64_t version, std::string text);
 
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     [[nodiscard]] const std::string& text() const { return m_text; }
-    /// The command that replaces the document here by `text`, as small as it can be.
+    /// The smallest command that replaces the current document by `text`.
     [[nodiscard]] DocumentCommand commandFor(std::uint64_t version, const std::string& text) const;
-    /// What leads from `held` to the document here: changes where they are known, else its whole text. `held` is not the version here.
+    /// The steps from version `held` to the current document: changes if they are known, otherwise the whole text. `held` must differ from
+    /// the current version.
     [[nodiscard]] std::vector<DocumentStep> stepsFrom(std::uint64_t held) const;
 
 private:
@@ -44,7 +45,7 @@
 
     std::uint64_t m_version = 0;
     std::string m_text;
-    std::deque<DocumentStep> m_steps; ///< Oldest first, without a gap; the last one leads to `m_version`.
+    std::deque<DocumentStep> m_steps; ///< Oldest first, without gaps; the last one ends at `m_version`.
     std::size_t m_stepBytes = 0;
 };
 
--- a/src/version/DocumentSource.cpp
+++ b/src/version/DocumentSource.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-    /// A transfer under way is kept though newer versions come, or a slow link would begin anew with each of them and never end. A
-    /// gateway may wait for an answer for its longest patience before it asks again.
+    /// A transfer in progress is kept although newer versions arrive; otherwise a slow link would restart with each of them and never
+    /// complete. A gateway may wait for its longest timeout before it asks again.
     constexpr Duration unusedTransferLifetime = DocumentFollower::maxReplyTimeout + 1s;
-    /// Gateways that hold different versions ask for different transfers; the one unused for longest gives way.
+    /// Gateways with different versions need different transfers; the least recently used one is evicted.
     constexpr std::size_t maxTransfers = 4;
 
 } // namespace
@@ -39,7 +39,7 @@
         return std::nullopt;
     auto& transfer = transferFor(request, history, now);
     transfer.usedAt = now;
-    // Another version than the one that was asked for is sent from its beginning.
+    // A version other than the requested one is sent from its beginning.
     auto offset = transfer.version == request.version ? std::min<std::uint64_t>(request.offset, transfer.bytes.size()) : 0;
     DocumentPart part { transfer.version, transfer.base, offset, transfer.bytes.size(), transfer.bytes.substr(offset, partBytes) };
     return part;
@@ -51,7 +51,7 @@
         return std::find_if(m_transfers.begin(), m_transfers.end(),
             [&](const auto& transfer) { return transfer->base == request.held && transfer->version == version; });
     };
-    // One that has begun goes on, also if the document has changed meanwhile.
+    // A started transfer continues even if the document has changed since.
     auto it = request.offset ? find(request.version) : m_transfers.end();
     if (it == m_transfers.end())
         it = find(history.version());
--- a/src/version/DocumentSource.h
+++ b/src/version/DocumentSource.h
@@ -1,9 +1,10 @@
 /** \file
- * How a controller tells gateways of the routing document: it offers a version, and hands out what leads to it in parts, on request.
+ * Distributes the routing document from a controller to the gateways: offers a version, and sends the changes in parts on request.
  *
- * Writing a whole document to each gateway at each change filled the memory of controllers: a megabyte for each of 29 gateways, held two
- * or three times on its way into links of 10 and 100 Mbit/s, from three controllers at once. Three were killed at their limit of 88 MB,
- * again after each start. A gateway that asks gets it from one controller, at the pace of its link, and what waits for it here is one part.
+ * Sending the whole document to each gateway at each change exhausted the memory of the controllers: a megabyte for each of 29 gateways,
+ * buffered two or three times for links of 10 and 100 Mbit/s, from three controllers at once. Three were killed at their limit of 88 MB,
+ * again after each start. With requests a gateway loads the document from one controller at the speed of its link, and the controller
+ * buffers only one part for it.
  */
 #pragma once
 
@@ -17,7 +18,7 @@
 
 class DocumentSource {
 public:
-    /// 64 KB take 52 ms on a link of 10 Mbit/s, so that what else waits for the link does not wait for long.
+    /// 64 KB take 52 ms on a link of 10 Mbit/s, which limits the delay for other messages on the link.
     static constexpr std::size_t partBytes = 64 * 1024;
 
     struct AddressedOffer {
@@ -27,11 +28,11 @@
 
     void addPeer(PeerId gateway) { m_gateways[gateway] = {}; }
     void removePeer(PeerId gateway) { m_gateways.erase(gateway); }
-    /// What gateways must be told now; called often, it also drops transfers that nobody asks for any more. \param isCurrent whether the
-    /// document is the newest that a majority has accepted, as far as can be known here: a gateway that starts must not serve by one that
-    /// was overtaken before, as a controller that is cut off may hold.
+    /// The offers to send now. Must be called regularly, since it also drops unused transfers. \param isCurrent whether the document is
+    /// the newest committed one, as far as this controller can know: a gateway that starts must not use an outdated one, which a
+    /// partitioned controller may hold.
     std::vector<AddressedOffer> offers(const DocumentHistory&, bool isCurrent, Instant now);
-    /// The part that a gateway asks for, or the first part of something newer; nothing if there is nothing newer than what it holds.
+    /// The requested part, or the first part of a newer version; nothing if the gateway holds the newest version already.
     std::optional<DocumentPart> answer(const DocumentRequest&, const DocumentHistory&, Instant now);
 
 private:
@@ -39,7 +40,7 @@
         std::uint64_t offered = 0;
         bool isConfirmed = false;
     };
-    /// Encoded steps; many gateways ask for the same.
+    /// Encoded steps, shared by all gateways that request the same versions.
     struct Transfer {
         std::uint64_t base = 0;
         std::uint64_t version = 0;
--- a/src/version/Ledger.cpp
+++ b/src/version/Ledger.cpp
@@ -17,7 +17,7 @@
     auto& entry = it->second;
     if (!isNew && entry.fingerprint != intent.fingerprint)
         return viewOf(entry, LedgerState::Mismatch);
-    // The same proposal again, after its reply was lost.
+    // A resend of the same proposal after its reply was lost.
     if (!isNew && entry.attempt == intent.attempt && entry.request == intent.request && !entry.finished)
         return viewOf(entry, LedgerState::Accepted);
     bool isNext = intent.attempt == entry.attempt.next() && !entry.finished;
--- a/src/version/Ledger.h
+++ b/src/version/Ledger.h
@@ -1,8 +1,8 @@
 /** \file
- * The site's ledger of keyed requests that may not be repeated: which attempt may run, where, and how it ended.
+ * The site's ledger of keyed requests that must not be repeated: which attempt may run, at which sidecar, and its outcome.
  *
- * Part of the replicated state. An intent is accepted only as the first attempt of a new key, or as the attempt after one
- * that its sidecar has sealed unadmitted; two gateways that race with the same attempt number get one winner.
+ * Part of the replicated state. An intent is accepted only for the first attempt of a new key, or for the attempt that follows
+ * one that its sidecar never admitted and has sealed. If two gateways propose the same attempt number, only one is accepted.
  */
 #pragma once
 
@@ -27,7 +27,7 @@
     };
 
     LedgerView recordIntent(const IntentCommand&);
-    /// Records how an attempt ended; a late outcome of another attempt, or a second one, changes nothing.
+    /// Records the outcome of an attempt; a late outcome of another attempt, or a second outcome, has no effect.
     LedgerView recordOutcome(const OutcomeCommand&);
 
     [[nodiscard]] const std::unordered_map<std::string, Entry>& entries() const { return m_entries; }
--- a/src/version/LogStorage.cpp
+++ b/src/version/LogStorage.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-    /// Entries from this index on are void.
+    /// Entries from this index on are deleted.
     struct Truncation {
         std::uint64_t from = 0;
         MSGPACK_DEFINE(from)
@@ -174,7 +174,7 @@
         m_logSize += bytes.size();
         return written;
     }
-    // A half-written record in the middle of the log would look like damage: cut it off while we know where it began.
+    // A partial record in the middle of the log would look like damage, so it is truncated while its start is known.
     if (::ftruncate(m_log, static_cast<off_t>(m_logSize)) != 0)
         return storageError("can't undo a failed write to", pathOf("log"));
     return written;
@@ -194,7 +194,7 @@
 
 Result<void> LogStorage::saveSnapshot(const raft::Snapshot& snapshot)
 {
-    // The log is read back below, so that it must hold all that was added.
+    // The log is read back below, so all added records must be written first.
     if (auto synced = sync(); !synced)
         return synced;
     if (auto saved = replaceFile(m_folder, "snapshot", encodeRecord(encodeValue(snapshot))); !saved)
--- a/src/version/LogStorage.h
+++ b/src/version/LogStorage.h
@@ -1,18 +1,20 @@
 /** \file
  * The log on a controller's disk: one data folder with an identity, a log file and a snapshot.
  *
- *     identity   who this disk is, drawn when the folder is first used
- *     log        records of `mark, length, checksum, payload`, appended; one for each sync
- *     snapshot   one record: the state up to an index; replaced whole by rename
+ *     identity   the id of this disk, drawn at random when the folder is first used
+ *     log        records of `magic, length, checksum, payload`, appended; one for each sync
+ *     snapshot   one record: the state up to an index; replaced atomically by rename
  *
- * Beside them may lie `replicas` and `crashes`, which DiskMemory keeps and nothing here reads.
+ * The folder may also contain `replicas` and `crashes`, which DiskMemory writes; they are not read here.
  *
- * What goes wrong here and how it is met: a crash in the middle of a write leaves a torn record at the end, which was
- * never acknowledged, so it is cut. A bad record with good ones behind it can't come from a crash; something damaged the
- * disk, so the start is refused: going on without acknowledged entries could lose accepted changes. After a power loss each
- * write since the last sync is there, missing or torn on its own; the records of one sync are therefore one write under one
- * checksum, so that a later one can't outlive an earlier one and look like damage. A full disk fails the write; the partial
- * record is cut off again and the error returned, with everything before it intact.
+ * Failures and how they are handled:
+ * - A crash during a write leaves a torn record at the end. It was never acknowledged, so it is truncated.
+ * - A bad record followed by valid ones can't come from a crash but only from a damaged disk. The start is refused, since
+ *   continuing without acknowledged entries could lose accepted changes.
+ * - After a power loss each write since the last sync may be complete, missing or torn, independently of the others. All
+ *   records of one sync are therefore one write under one checksum, so that a later record can't survive without an earlier
+ *   one and look like damage.
+ * - On a full disk the write fails. The partial record is truncated and the error returned; everything before it is intact.
  */
 #pragma once
 
@@ -30,17 +32,17 @@
     LogStorage(const LogStorage&) = delete;
     LogStorage& operator=(const LogStorage&) = delete;
 
-    /// Opens the folder, making it if need be; again, if it is open. \param newDiskId the identity to give a folder that has none.
+    /// Opens the folder, or reopens it; creates it if it does not exist. \param newDiskId the identity to write if the folder has none.
     Result<raft::Recovered> open(const std::string& folder, DiskId newDiskId);
     /// Adds records to the next write.
     void append(const raft::Persist&);
-    /// Writes what was added as one record. Durable on return.
+    /// Writes all added records as one. Durable on return.
     Result<void> sync();
-    /// Replaces the snapshot and drops the entries that it covers. Durable on return.
+    /// Replaces the snapshot and deletes the log entries that it covers. Durable on return.
     Result<void> saveSnapshot(const raft::Snapshot&);
 
     [[nodiscard]] DiskId disk() const { return m_disk; }
-    /// Bytes that were cut off the end of the log when it was opened.
+    /// Bytes truncated from the end of the log when it was opened.
     [[nodiscard]] std::size_t truncatedBytes() const { return m_truncatedBytes; }
 
 private:
@@ -53,7 +55,7 @@
     struct Batch;
 
     std::string m_folder;
-    std::unique_ptr<Batch> m_batch; ///< What the next sync writes.
+    std::unique_ptr<Batch> m_batch; ///< The records that the next sync writes.
     int m_log = -1;
     std::uint64_t m_logSize = 0;
     DiskId m_disk;
--- a/src/version/MembershipPlan.cpp
+++ b/src/version/MembershipPlan.cpp
@@ -10,21 +10,21 @@
 
     using Names = std::vector<std::string>;
 
-    /// Fewer members than these are not made fewer only to have an odd number: two disks hold more than one.
+    /// An even number of members is made odd by a removal only above this number: two disks are safer than one.
     constexpr std::size_t minMembersToShrink = 3;
 
-    /// The others of a view by what they are at present.
+    /// The other controllers, classified by their current state.
     struct Peers {
         std::vector<const PeerStatus*> voters;
-        std::vector<const PeerStatus*> learners; ///< Fit to be added at once.
-        const PeerStatus* unavailable = nullptr; ///< The member that has been silent for longest, if one is gone.
-        std::size_t healthy = 0; ///< Members that answer and count, the leader among them.
-        std::map<std::string, std::size_t> votersIn; ///< Members that are not gone, by zone.
+        std::vector<const PeerStatus*> learners; ///< Those that have caught up and can be added.
+        const PeerStatus* unavailable = nullptr; ///< The unavailable member with the oldest last reply, if any.
+        std::size_t healthy = 0; ///< Available members that count towards a majority, including the leader.
+        std::map<std::string, std::size_t> votersIn; ///< Available members by zone.
     };
 
     bool contains(const Names& names, const std::string& name) { return std::find(names.begin(), names.end(), name) != names.end(); }
 
-    /// A member that does not vote as things are: it is silent, or has turned out to keep nothing.
+    /// Whether a member can't vote now: it has not replied for too long, or it has reported that it has no disk.
     bool isUnavailable(const PeerStatus& member) { return member.sinceLastReply >= memberReplacementTimeout || member.isDiskless; }
 
     bool hasCaughtUp(const PeerStatus& learner, std::uint64_t commit)
@@ -62,7 +62,8 @@
         return it == peers.votersIn.end() ? 0 : it->second;
     }
 
-    /// The learner to add: of the zone with the fewest voters, so that a zone takes few of them with it; else the one that lacks least.
+    /// The learner to add: one in the zone with the fewest voters, so that the failure of a zone affects few voters; among these the most
+    /// up-to-date one.
     const PeerStatus* preferredLearner(const Peers& peers)
     {
         auto isBetter = [&peers](const PeerStatus* a, const PeerStatus* b) {
@@ -74,7 +75,7 @@
         return it == peers.learners.end() ? nullptr : *it;
     }
 
-    /// The member to give up where one is too many: of the zone with most voters, and never the leader.
+    /// The member to remove if there are too many: one in the zone with the most voters, never the leader.
     const PeerStatus* surplusVoter(const Peers& peers)
     {
         auto isBetter = [&peers](const PeerStatus* a, const PeerStatus* b) {
@@ -84,7 +85,7 @@
         return it == peers.voters.end() ? nullptr : *it;
     }
 
-    /// Whether the learner in place of a voter of the fullest zone spreads the members more evenly.
+    /// Whether replacing a voter in the zone with the most voters by the learner spreads the members more evenly.
     bool improvesZoneSpread(const ClusterView& view, const Peers& peers, const PeerStatus& learner)
     {
         if (!view.toleratedFailures || learner.zone.empty())
@@ -96,7 +97,7 @@
 
     std::size_t targetMemberCount(const ClusterView& view)
     {
-        // An even number is on its way to the odd one above it.
+        // An even number is a step towards the odd number above it.
         return view.toleratedFailures ? 2 * view.toleratedFailures + 1 : view.members.size() | 1;
     }
 
@@ -104,7 +105,7 @@
     const PeerStatus* memberToRemove(const ClusterView& view, const Peers& peers)
     {
         auto size = view.members.size();
-        // Those left must be a majority of the present members too, or the removal takes away more than the loss did.
+        // The healthy members must be a majority of the current members too; otherwise the removal would make availability worse.
         if (peers.healthy <= size / 2)
             return nullptr;
         bool isEven = size % 2 == 0;
@@ -133,7 +134,7 @@
 {
     auto peers = classifyPeers(view);
     auto next = view.members;
-    // An even number bears no more losses than the odd one below it, so it is only a step on the way.
+    // An even number tolerates no more failures than the odd number below it, so it is only an intermediate step.
     if (const auto* removed = memberToRemove(view, peers)) {
         std::erase(next, removed->name);
         return next;
--- a/src/version/Raft.cpp
+++ b/src/version/Raft.cpp
@@ -7,7 +7,7 @@
 namespace {
 
     constexpr std::size_t entriesPerAppend = 256;
-    /// One message carries no more entries than these bytes of documents, or a heartbeat would wait behind megabytes.
+    /// Limits the document bytes in one message, since a larger message would delay the heartbeats behind it.
     constexpr std::size_t bytesPerAppend = 256 * 1024;
     std::size_t sizeOf(const LogEntry& entry)
     {
@@ -41,7 +41,7 @@
     if ((isFresh && m_settings.isNewCluster) || !m_settings.safeguards.countsOnlyKnownDisks)
         setVoter(true);
     if (isFresh && m_settings.isNewCluster && m_settings.isDynamic) {
-        // All founders write the same first entry, so that it never conflicts, and a restart under other settings finds it.
+        // All initial members write the same first entry: it never conflicts, and a restart with other settings finds it in the log.
         LogEntry first { 0, 1, MembersCommand { m_settings.members } };
         m_entries.push_back(first);
         m_effects.push_back(raft::Persist { std::nullopt, 0, { std::move(first) } });
@@ -82,8 +82,8 @@
 
 // --- Election ---------------------------------------------------------------------------------------------------
 
-/// A fresh disk may have replaced one that had voted in the present term, so it votes only once the log, by a majority
-/// without it, has registered it. The permission is kept with the term, since a restart forgets what was committed.
+/// An empty disk may have replaced one that had voted in the current term, so it votes only after its registration is committed by
+/// a majority without it. The permission is stored with the term, since the commit index is not known after a restart.
 void Raft::setVoter(bool isVoter)
 {
     if (m_hard.isVoter == isVoter)
@@ -98,10 +98,11 @@
     return it == m_disks.end() || it->second == disk || !m_settings.safeguards.countsOnlyKnownDisks;
 }
 
-/// Whether what a member stores makes up a majority. A wiped disk must not help to commit the entry that registers it: a leader
-/// that was frozen while another was elected would commit with it, as one of the two of three that are left to it, what
-/// contradicts entries that the disk had acknowledged before it was wiped. Who knows the registration to be committed has heard
-/// of it from a leader that needed no such help.
+/// Whether a member's acknowledgements count towards a majority. A wiped disk must not help to commit the entry that registers it.
+/// Example with three members: a leader is suspended while another one is elected, and a member that acknowledged entries of the new
+/// leader is then wiped. With this member the old leader would have two of three, and would commit entries that conflict with the
+/// acknowledged ones. A member that knows its registration to be committed has learnt so from a leader that did not need its
+/// acknowledgement.
 bool Raft::countsTowardsQuorum(const std::string& member, const Progress& progress) const
 {
     return hasValidDisk(member, progress.disk) && (progress.isVoter || !m_settings.safeguards.countsOnlyKnownDisks);
@@ -119,10 +120,11 @@
     m_electionDue = now + Duration(std::uniform_int_distribution<std::int64_t>(base, 2 * base)(m_random));
 }
 
-/// The first election after a start does not wait for the election timeout, but only until a majority is linked and a leader
-/// that these follow has had a heartbeat and more to show itself. After a power loss of the whole site gateways have no document
-/// until a leader is there: with a timeout of 500 ms it came 0.70 s after the controllers, and all that callers asked meanwhile was
-/// refused. A pre-vote that comes too early does no harm, since members that hear a leader refuse it.
+/// The first election after a start does not wait for the whole election timeout, but until a majority is connected and between one and
+/// two heartbeat intervals have passed, in which an existing leader would have sent a heartbeat. After a power loss of the whole site the
+/// gateways have no routing document until a leader is elected: with a timeout of 500 ms this took 0.70 s from the start of the
+/// controllers, and all requests until then were refused. A pre-vote that is too early does no harm, since members in contact with a
+/// leader reject it.
 void Raft::shortenFirstElectionTimeout(Instant now)
 {
     auto linked = std::count_if(m_members.begin(), m_members.end(), [this](const auto& member) { return m_linked.contains(member); });
@@ -241,7 +243,7 @@
     }
     m_effects.push_back(raft::LeaderChanged { true });
     m_effects.push_back(Note { EventCode::LeaderElected, {}, "term " + std::to_string(m_hard.term) });
-    // Entries of earlier terms may only be committed together with one of this term.
+    // Entries of earlier terms may only be committed together with an entry of this term.
     appendAsLeader(NoopCommand {});
     registerDisks();
     broadcast(now);
@@ -266,13 +268,14 @@
     }
 }
 
-/// A leader that a majority has not answered for an election timeout may have been replaced without knowing.
+/// A leader without replies from a majority may have been replaced without knowing it, and steps down. The limit is twice the election
+/// timeout.
 void Raft::checkQuorum(Instant now)
 {
     std::size_t reachable = selfCount();
     for (const auto& [member, progress] : m_progress) {
-        // Whoever has not replied yet voted or may have: with disks that take 0.15 s for a sync, no reply comes within the first
-        // heartbeat, and each leader would step down before its first one.
+        // A member without a reply in this term may still be a voter and counts as reachable: with disks that take 0.15 s for a sync, no
+        // reply arrives within the first heartbeat interval, and each leader would step down before the first reply.
         bool mayCount = progress.hasReplied ? countsTowardsQuorum(member, progress) : hasValidDisk(member, progress.disk);
         if (isMember(member) && now - progress.lastReplyAt <= m_settings.electionTimeout * 2 && mayCount)
             ++reachable;
@@ -307,7 +310,7 @@
 {
     if (!isLeader())
         return 0;
-    // Only a round that starts after the request proves that nobody else led when it was made.
+    // Only a heartbeat round that starts after the request proves that there was no other leader at the time of the request.
     m_reads.push_back({ ++m_lastTicket, m_round + 1 });
     broadcast(now);
     answerReads();
@@ -345,7 +348,7 @@
         bytes += sizeOf(request.entries.back());
     }
     last = progress.next + request.entries.size() - 1;
-    // Sent optimistically; a refusal sets it back.
+    // Advanced optimistically; a rejection resets it.
     progress.next = last + 1;
     m_effects.push_back(raft::Send { to, std::move(request) });
 }
@@ -391,7 +394,7 @@
     }
 }
 
-/// Adds the entries that are new, after voiding own ones that contradict them.
+/// Appends the new entries, after deleting existing entries that conflict with them.
 bool Raft::mergeEntries(const std::vector<LogEntry>& entries)
 {
     raft::Persist persist;
@@ -424,7 +427,7 @@
         return;
     auto& progress = it->second;
     if (progress.disk != reply.disk) {
-        // Another disk: what the former one acknowledged is not there.
+        // The disk was replaced: entries acknowledged by the former disk are lost.
         progress = freshProgress(progress.next, reply.disk, now);
         registerDisks();
     }
@@ -440,7 +443,7 @@
             sendAppend(from, now);
     } else if (progress.next > m_snapshot.lastIndex && reply.round >= progress.nextResetRound) {
         progress.next = std::max(progress.match + 1, std::min(progress.next, reply.match + 1));
-        // What was sent before is refused as well; each of these refusals would send all that the member lacks once more.
+        // Requests already sent will be rejected too; without this, each of these rejections would resend all missing entries.
         progress.nextResetRound = ++m_round;
         sendAppend(from, now);
     }
@@ -482,7 +485,7 @@
 
 void Raft::answerReads()
 {
-    // Until an entry of this term is committed the leader may not know the newest commit.
+    // Until an entry of this term is committed the leader may not know the newest commit index.
     if (termAt(m_commit) != m_hard.term)
         return;
     std::erase_if(m_reads, [this](const Read& read) {
--- a/src/version/Raft.h
+++ b/src/version/Raft.h
@@ -1,19 +1,19 @@
 /** \file
  * The replicated log, after Raft (Ongaro and Ousterhout, 2014), as a state machine without I/O.
  *
- * What it adds to the paper's core, and why:
- * - pre-vote: a controller that was cut off does not force an election when it returns;
- * - check-quorum: a leader that can't reach a majority steps down within an election timeout, so its clients look
- *   elsewhere instead of waiting for it;
- * - read rounds: a linearizable read is answered after a majority confirmed the leadership in a later heartbeat;
- * - snapshots in chunks for a member that hundreds of changes have passed by;
- * - disk identities: a member counts only with the disk that the log has registered for it. One that lost its disk has
- *   forgotten its votes and acknowledgements; counted under its old name it could help elect a leader without a committed
- *   entry. It therefore neither votes nor counts until the log itself, by a majority without it, registers the new disk;
- *   it says in each reply whether it knows that this has been committed.
+ * Extensions to the core of the paper:
+ * - pre-vote: a controller that was partitioned does not force an election when it reconnects;
+ * - check-quorum: a leader that can't reach a majority steps down within two election timeouts, so that its clients try
+ *   another controller instead of waiting for it;
+ * - read rounds: a linearizable read is answered after a majority has confirmed the leadership in a later heartbeat;
+ * - snapshots in chunks for a member that is hundreds of entries behind;
+ * - disk identities: a member counts towards a majority only with the disk that the log has registered for it. A member
+ *   that lost its disk has lost its votes and acknowledgements; counted under its old name it could help to elect a leader
+ *   that lacks a committed entry. It therefore neither votes nor counts until an entry that registers the new disk is
+ *   committed by a majority without it; each of its replies states whether it knows that this entry is committed.
  *
- * The driver carries out the effects of one step in order; `Persist` and `SaveSnapshot` must be durable before any
- * later effect is carried out.
+ * The driver performs the effects of one step in order; `Persist` and `SaveSnapshot` must be durable before any later
+ * effect is performed.
  */
 #pragma once
 
@@ -34,7 +34,7 @@
 
 namespace raft {
 
-    /// What a member must not forget besides the entries.
+    /// The durable state of a member besides its log entries.
     struct HardState {
         std::uint64_t term = 0;
         std::string votedFor;
@@ -49,7 +49,7 @@
         MSGPACK_DEFINE(lastIndex, lastTerm, bytes)
     };
 
-    /// What the storage gives back at start.
+    /// The durable state that the storage reads at start.
     struct Recovered {
         HardState hardState;
         Snapshot snapshot;
@@ -58,18 +58,19 @@
 
     struct Settings {
         std::string self;
-        std::vector<std::string> members; ///< The founders, this one included; the log may change them later.
-        /// Founders write their names as the first entry, and the leader replaces members that stay away by learners.
+        std::vector<std::string> members; ///< The initial members, this one included; the log may change them later.
+        /// The initial members write their names as the first entry, and the leader replaces unreachable members by learners.
         bool isDynamic = false;
         std::string zone; ///< The availability zone of this controller.
-        /// How many members may be lost at once: 2f + 1 members are kept where there are disks enough. Zero: as many as founded the log.
+        /// The number f of simultaneous failures to tolerate: the leader keeps 2f + 1 members if there are enough disks. Zero: the initial
+        /// number of members.
         std::size_t toleratedFailures = 0;
         DiskId disk;
-        bool isNewCluster = false; ///< A fresh disk may vote only in a cluster that is being founded.
-        Duration electionTimeout = 400ms; ///< Elections start after one to two of these without a leader.
+        bool isNewCluster = false; ///< An empty disk may vote only in a cluster that is being bootstrapped.
+        Duration electionTimeout = 400ms; ///< An election starts after one to two of these without contact to a leader.
         Duration heartbeat = 80ms;
         std::uint64_t seed = 1;
-        /// Whether the state machine can read such a snapshot; empty: any.
+        /// Whether the state machine can load this snapshot; empty: it can load any.
         std::function<bool(const std::string&)> canLoadSnapshot;
         Safeguards safeguards;
     };
@@ -77,11 +78,11 @@
     // Effects.
     struct Persist {
         std::optional<HardState> hardState;
-        std::uint64_t truncateFrom = 0; ///< Entries from this index on are void; zero: none.
+        std::uint64_t truncateFrom = 0; ///< Entries from this index on are deleted; zero: none.
         std::vector<LogEntry> entries;
     };
     struct SaveSnapshot {
-        Snapshot snapshot; ///< Entries up to its last index may be dropped.
+        Snapshot snapshot; ///< Entries up to its last index may be deleted.
     };
     struct Send {
         std::string to;
@@ -90,7 +91,7 @@
     struct Apply {
         LogEntry entry;
     };
-    /// The state machine is to be replaced by this snapshot.
+    /// The state machine must be replaced by this snapshot.
     struct Restore {
         Snapshot snapshot;
     };
@@ -112,25 +113,26 @@
 
     Raft(raft::Settings, raft::Recovered, Instant now);
 
-    /// Effects to carry out at start: restores the snapshot.
+    /// The effects at start: restores the snapshot.
     Effects recover();
     Effects receive(const std::string& from, const Message&, Instant now);
     Effects tick(Instant now);
     /// Appends a command if this is the leader; `flush` sends it. \returns its index, or zero.
     std::uint64_t propose(Command, Effects&);
-    /// Sends what was proposed since, as one batch.
+    /// Sends all commands proposed since the last call as one batch.
     Effects flush(Instant now);
-    /// Asks for a linearizable read. \returns a ticket that comes back as ReadReady, or zero if this is not the leader.
+    /// Starts a linearizable read. \returns a ticket that comes back as ReadReady, or zero if this is not the leader.
     std::uint64_t requestRead(Effects&, Instant now);
-    /// A controller is linked: if it doesn't vote, it learns. \param zone its availability zone. \param now when the link came up.
+    /// Called when a controller connects; one that is not a member becomes a learner. \param zone its availability zone. \param now when
+    /// the link came up.
     void addPeer(const std::string& name, const std::string& zone, Instant now);
-    /// The link to a controller is gone; a learner is forgotten until it comes back.
+    /// Called when the link to a controller closes. A learner gets no more entries until it reconnects.
     void removePeer(const std::string& name);
-    /// Whether this state is the newest that a majority has accepted, as far as a member that hears its leader can know. Never before an
-    /// entry of the leader's own term is committed: until then the leader itself may not know what was.
+    /// Whether the applied state is the newest committed one, as far as a member in contact with its leader can know. Always false until
+    /// an entry of the leader's own term is committed, since until then the leader may not know the newest commit index.
     [[nodiscard]] bool isCurrent(Instant now) const;
     [[nodiscard]] const std::vector<std::string>& members() const { return m_members; }
-    /// Restores the members with the state that a snapshot holds. \param zones where controllers are, as far as the log knows.
+    /// Restores the members from a snapshot. \param zones the availability zones of the controllers, as far as the log contains them.
     void restoreMembers(std::vector<std::string>, const std::map<std::string, std::string>& zones);
     /// Replaces the applied part of the log by a snapshot of the state after it.
     Effects compact(std::string stateBytes);
@@ -150,11 +152,11 @@
     [[nodiscard]] std::size_t bytesKept() const { return m_bytesKept; }
     /// Whether the log holds a routing document that is not applied here yet.
     [[nodiscard]] bool hasUnappliedDocument() const;
-    /// Whether a leader was heard of within the last election timeout.
+    /// Whether this is the leader or has received a message from the leader within the last election timeout.
     [[nodiscard]] bool hasLeaderContact(Instant now) const;
-    /// The disks that count, by member.
+    /// The registered disk of each member.
     [[nodiscard]] const std::map<std::string, DiskId>& disks() const { return m_disks; }
-    /// Restores the registered disks with the state that a snapshot holds.
+    /// Restores the registered disks from a snapshot.
     void restoreDisks(std::map<std::string, DiskId>);
 
 private:
@@ -162,14 +164,15 @@
         std::uint64_t next = 1;
         std::uint64_t match = 0;
         std::uint64_t round = 0;
-        std::uint64_t nextResetRound = 0; ///< Requests before this round were sent before `next` was set back last.
+        std::uint64_t nextResetRound
+            = 0; ///< Rejections of requests before this round are ignored: they were sent before `next` was last reset.
         Instant lastReplyAt;
         DiskId disk;
         bool hasReplied = false; ///< Since this leader was elected, with this disk.
-        bool isVoter = false; ///< It knows that this disk is registered.
+        bool isVoter = false; ///< The member knows that the registration of this disk is committed.
         bool isDiskless = false;
         std::uint64_t snapshotOffset = 0;
-        Instant chunkSentAt; ///< When the chunk at that offset was sent last.
+        Instant chunkSentAt; ///< When the chunk at `snapshotOffset` was last sent.
     };
     struct Read {
         std::uint64_t ticket = 0;
@@ -235,19 +238,20 @@
     std::map<std::string, DiskId> m_appliedDisks;
     std::vector<std::string> m_members; ///< As of the last entry in the log, committed or not.
     std::vector<std::string> m_appliedMembers;
-    std::uint64_t m_leaderCommit = 0; ///< The commit index that the leader told last.
+    std::uint64_t m_leaderCommit = 0; ///< The highest commit index that this leader has sent.
     std::set<std::pair<std::string, DiskId>> m_registering;
-    std::set<std::string> m_linked; ///< The controllers that a link is up to, members or not.
-    /// Where controllers are, by their own word or the log's. It decides only who is preferred, so a void entry does no harm.
+    std::set<std::string> m_linked; ///< The connected controllers, members or not.
+    /// The availability zones of the controllers, as they report them or as the log contains them. Zones only decide which controller is
+    /// preferred, so an entry that is deleted later does no harm.
     std::map<std::string, std::string> m_zones;
     std::vector<Read> m_reads;
     std::uint64_t m_lastTicket = 0;
     std::uint64_t m_round = 0;
     raft::Snapshot m_incoming;
-    std::uint64_t m_incomingTerm = 0; ///< Of the leader that sends it.
+    std::uint64_t m_incomingTerm = 0; ///< The term of the leader that sends `m_incoming`.
     Instant m_electionDue;
     Instant m_leaderContactAt;
-    bool m_isFirstElection = true; ///< Since its start this member has neither heard a leader nor stood for election.
+    bool m_isFirstElection = true; ///< Since its start this member has neither had contact to a leader nor started an election.
     Instant m_heartbeatDue;
     bool m_needsFlush = false;
     std::mt19937_64 m_random;
--- a/src/version/RaftMembers.cpp
+++ b/src/version/RaftMembers.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of Raft that is about who counts: disks that the log has registered, members that it names, and learners.
+ * The part of Raft that handles membership: registered disks, voting members, and learners.
  */
 #include "version/MembershipPlan.h"
 #include "version/Raft.h"
@@ -30,7 +30,7 @@
         setVoter(it->second == m_settings.disk || !m_settings.safeguards.countsOnlyKnownDisks);
 }
 
-/// Registers a disk, unless that is done or under way. \returns whether an entry was appended.
+/// Proposes the registration of a disk, unless it is registered or proposed already. \returns whether an entry was appended.
 bool Raft::registerDisk(const std::string& name, DiskId disk)
 {
     auto it = m_disks.find(name);
@@ -40,8 +40,8 @@
     return true;
 }
 
-/// The leader registers the disk of each member that it hears of under an unregistered one. The entry commits by a
-/// majority that the member itself is no part of, so everything committed before is with others.
+/// As the leader, registers the disk of each member that has replied with an unregistered one. The member itself does not count
+/// towards the majority that commits the entry, so all entries committed before are stored on other members.
 void Raft::registerDisks()
 {
     registerDisk(m_settings.self, m_settings.disk);
@@ -82,12 +82,12 @@
 
 bool Raft::isCurrent(Instant now) const
 {
-    // Until an entry of its term is committed a leader may not know the newest commit, and nor do those that hear it.
+    // Until an entry of its term is committed a leader may not know the newest commit index, and neither do its followers.
     return hasLeaderContact(now) && termAt(m_commit) == m_hard.term && m_commit >= m_leaderCommit;
 }
 
-/// One change at a time, and only after an entry of this term is committed: two changes that overlap could have majorities
-/// without a common member.
+/// Makes one membership change at a time, and only after an entry of this term is committed: two overlapping changes could have
+/// majorities without a common member.
 void Raft::changeMembers(Instant now)
 {
     if (m_members != m_appliedMembers || termAt(m_commit) != m_hard.term)
@@ -99,8 +99,8 @@
     auto added = std::find_if(planned.begin(), planned.end(), isNew);
     if (added == planned.end())
         return proposeMembers(std::move(planned), now);
-    // The disk is registered first: a member that may not vote yet takes part in no majority, and two losses right after the
-    // change would find the members short of one more.
+    // The disk is registered first: a member that may not vote yet does not count towards a majority, and with two failures right after
+    // the change the cluster would lack a third member.
     const auto& progress = m_progress.at(*added);
     if (countsTowardsQuorum(*added, progress))
         return proposeMembers(std::move(planned), now);
--- a/src/version/RaftSnapshot.cpp
+++ b/src/version/RaftSnapshot.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of Raft that brings a member up to date by a snapshot, in chunks.
+ * The part of Raft that sends and installs snapshots, in chunks.
  */
 #include "version/Raft.h"
 
@@ -10,7 +10,7 @@
 namespace {
 
     constexpr std::size_t snapshotChunkBytes = 64 * 1024;
-    /// A snapshot chunk that was not answered for this long is sent again.
+    /// An unacknowledged snapshot chunk is resent after this time.
     constexpr Duration chunkResendAfter = 500ms;
 
 } // namespace
@@ -18,7 +18,7 @@
 void Raft::sendSnapshot(const std::string& to, Instant now)
 {
     auto& progress = m_progress.at(to);
-    // A heartbeat keeps the member's election timer quiet while it receives.
+    // A heartbeat resets the member's election timer while it receives the snapshot.
     m_effects.push_back(raft::Send { to, AppendRequest { m_hard.term, lastIndex(), termAt(lastIndex()), 0, m_round, {} } });
     if (now - progress.chunkSentAt < chunkResendAfter)
         return;
@@ -34,7 +34,7 @@
     if (chunk.term < m_hard.term)
         return;
     followLeader(from, chunk.term, now);
-    // Another leader's snapshot up to the same entry says the same, but not in the same bytes.
+    // Another leader's snapshot up to the same entry has the same content, but may be encoded in other bytes.
     bool isOtherTerm = std::exchange(m_incomingTerm, chunk.term) != chunk.term;
     bool isNew = isOtherTerm || m_incoming.lastIndex != chunk.lastIndex || m_incoming.lastTerm != chunk.lastTerm;
     if (isNew)
@@ -44,19 +44,20 @@
     auto received = m_incoming.bytes.size();
     bool isWhole = chunk.done && chunk.offset + chunk.bytes.size() == received;
     if (isWhole && m_settings.canLoadSnapshot && !m_settings.canLoadSnapshot(m_incoming.bytes)) {
-        // A leader of another release may send what this one can't read. The log that is here is worth more; dropped for those bytes it
-        // left a controller that ended whenever it was sent them. Without an answer the chunk comes again at the pace of resends.
+        // A leader of another release may send a snapshot that this release can't load. The local log is kept: when it was dropped for
+        // such a snapshot, the controller exited each time it received one. Without a reply the leader resends the chunk after its
+        // timeout.
         m_incoming = {};
         m_effects.push_back(
             Note { EventCode::SnapshotRefused, {}, from + " sent one that can't be read, up to " + std::to_string(chunk.lastIndex) });
         return;
     }
     if (isWhole && chunk.lastIndex > m_commit) {
-        // Void on the disk as well: what comes next would follow them there, and the log could not be read at the next start.
+        // Deleted on the disk as well: the next entries would follow them there, and the log would be unreadable at the next start.
         if (lastIndex() > chunk.lastIndex)
             m_effects.push_back(raft::Persist { std::nullopt, chunk.lastIndex + 1, {} });
-        // A leader sends a snapshot only to a member whose log does not reach the snapshot's end, or contradicts its own there: nothing
-        // that was committed lies beyond it.
+        // A leader sends a snapshot only to a member whose log ends before the snapshot's last index or conflicts with its own there:
+        // no committed entry is lost beyond it.
         m_snapshot = std::exchange(m_incoming, {});
         m_entries.clear();
         m_bytesKept = 0;
@@ -83,7 +84,7 @@
         progress.snapshotOffset = 0;
         return sendAppend(from, now);
     }
-    // The answer to a chunk that was sent twice. Followed by the next chunk too, it would have all that are left sent twice.
+    // A duplicate acknowledgement of a chunk that was resent. Sending the next chunk for it as well would duplicate all remaining chunks.
     if (reply.received == progress.snapshotOffset && now - progress.chunkSentAt < chunkResendAfter)
         return;
     progress.snapshotOffset = reply.received;
--- a/src/version/RoutingDocument.h
+++ b/src/version/RoutingDocument.h
@@ -1,8 +1,8 @@
 /** \file
- * A whole routing configuration: which requests go to which services, and within which bounds.
+ * The routing document: which requests go to which services, and within which limits.
  *
- * It is replaced as a whole by a document with a higher version. The log keeps the text as its author sent it; whoever
- * needs the content decodes it once into this type.
+ * A document with a higher version replaces it as a whole. The log stores the text as its author sent it; each reader decodes
+ * it once into this type.
  */
 #pragma once
 
@@ -19,14 +19,14 @@
 
 namespace wrenhinge {
 
-/// What may be done to a request a second time.
+/// Whether and how a request may be repeated.
 enum class Repeatability : std::uint8_t {
     Idempotent, ///< May run any number of times.
-    AtMostOnce, ///< A second run is a fault.
-    Resumable, ///< A stream that another replica may continue after its last whole event.
+    AtMostOnce, ///< Must not run a second time.
+    Resumable, ///< A stream that another replica may continue after its last complete event.
 };
 
-/// One service of a route, with its share of the route's requests.
+/// One service of a route, with its share of the route's requests as a weight.
 struct RouteTarget {
     std::string service;
     std::uint32_t weight = 1;
@@ -39,23 +39,23 @@
     std::string prefix; ///< Begins and ends with a slash.
     Repeatability repeatability = Repeatability::AtMostOnce;
     bool isStream = false;
-    bool hasPrompt = false; ///< Its requests carry a prompt to an engine.
-    Duration timeout {}; ///< The longest that a caller is kept waiting.
-    Duration target {}; ///< Answers within it count in full.
-    std::uint32_t rank = 0; ///< Zero is the most urgent.
-    std::uint32_t maxAttempts = 1; ///< Replicas that one request may run on.
-    bool isPublic = false; ///< Its callers need no account.
+    bool hasPrompt = false; ///< Its requests contain a prompt for an engine.
+    Duration timeout {}; ///< The longest time that a caller waits for an answer.
+    Duration target {}; ///< The latency target: answers within it count fully.
+    std::uint32_t rank = 0; ///< The priority; zero is the most urgent.
+    std::uint32_t maxAttempts = 1; ///< The number of replicas that one request may run on.
+    bool isPublic = false; ///< Callers need no account.
     std::vector<RouteTarget> targets;
     bool operator==(const Route&) const = default;
 };
 
-/// What is known of a service's engines, where it has any.
+/// Properties of a service's engines, if it has any.
 struct EngineProperties {
     std::uint32_t slots = 0;
-    std::uint64_t cacheTokens = 0; ///< Tokens that the KV memory of one replica holds.
-    Duration reservationTimeout {}; ///< The longest that a decode replica sets a place aside; zero: it doesn't.
-    Duration kvRetention {}; ///< A prefill replica keeps a prompt's KV cache for this long.
-    Duration stageChange {}; ///< A replica that changes its stage is away for this long.
+    std::uint64_t cacheTokens = 0; ///< The capacity of the KV cache of one replica, in tokens.
+    Duration reservationTimeout {}; ///< A decode replica keeps a reservation at most this long; zero: it makes none.
+    Duration kvRetention {}; ///< A prefill replica keeps the KV cache of a prompt for this long.
+    Duration stageChange {}; ///< A replica that changes between prefill and decode is unavailable for this long.
 };
 
 struct ServiceRule {
@@ -66,7 +66,7 @@
     EngineProperties engine;
 };
 
-/// What callers may send, and how slowly.
+/// Limits for the size of requests, and for the time to receive them.
 struct CallerLimits {
     std::size_t headerBytes = 16384;
     std::size_t bodyBytes = 4u << 20;
@@ -74,13 +74,13 @@
     Duration idleTime = 15s;
 };
 
-/// What a client account may ask for in sum, at all gateways together.
+/// The quota of a client account, over all gateways.
 struct QuotaRule {
     enum class Unit : std::uint8_t { Requests, Tokens };
     Unit unit = Unit::Requests;
     double perSecond = 0; ///< Zero: no limit.
-    double burst = 0; ///< Beyond that, at once.
-    double defaultTokens = 0; ///< What a request counts as that states no tokens; where tokens count.
+    double burst = 0; ///< Use allowed at once, in addition to the rate.
+    double defaultTokens = 0; ///< The cost of a request that states no tokens, if the unit is tokens.
     bool operator==(const QuotaRule&) const = default;
 };
 
@@ -88,8 +88,8 @@
 
 struct AccountRule {
     std::string name;
-    std::vector<SecretDigest> keys; ///< Of each key that its callers may show.
-    std::optional<std::uint32_t> rank; ///< Goes before the route's.
+    std::vector<SecretDigest> keys; ///< Digests of the API keys of the account.
+    std::optional<std::uint32_t> rank; ///< Overrides the route's rank.
     QuotaRule quota;
 };
 
@@ -98,38 +98,39 @@
     std::vector<Route> routes;
     std::vector<ServiceRule> services;
     CallerLimits limits;
-    /// Nothing: callers need no account. An empty list is another thing: it lets nobody in but on public routes.
+    /// No value: callers need no account. An empty list, in contrast, refuses all requests except those on public routes.
     std::optional<std::vector<AccountRule>> accounts;
 };
 
-/// Checks what the types can't: services that exist, one route for each place, weights, timeouts, keys of one account each.
+/// Checks what the types don't ensure: that services exist, that each host and prefix has one route, weights, timeouts, and that each
+/// key belongs to one account.
 Result<void> validate(const RoutingDocument&);
 
-/// The document in force, indexed: a lookup costs one hash for each slash of the path, or one for a key, however many routes and accounts
-/// there are.
+/// The document in force, indexed: finding a route costs one hash lookup for each slash of the path, and finding an account costs one,
+/// independent of the number of routes and accounts.
 class RouteTable {
 public:
     RouteTable() = default;
     explicit RouteTable(RoutingDocument);
 
-    /// The route with the longest prefix of `path` under `host`, or nullptr. \param path without its query.
+    /// The route with the longest prefix of `path` under `host`, or nullptr. \param path without the query.
     [[nodiscard]] const Route* find(std::string_view host, std::string_view path) const;
     [[nodiscard]] const ServiceRule* service(const std::string& name) const;
-    /// Whether callers must show a key, but on public routes.
+    /// Whether callers need an API key, except on public routes.
     [[nodiscard]] bool hasAccounts() const { return m_document.accounts.has_value(); }
-    /// Whose key this is, or nullptr.
+    /// The account that the key belongs to, or nullptr.
     [[nodiscard]] const AccountRule* account(const SecretDigest& key) const;
     [[nodiscard]] const RoutingDocument& document() const { return m_document; }
     [[nodiscard]] std::uint64_t version() const { return m_document.version; }
 
 private:
     RoutingDocument m_document;
-    std::unordered_map<std::string, std::size_t> m_routes; ///< By host and prefix, joined.
+    std::unordered_map<std::string, std::size_t> m_routes; ///< By host and prefix, concatenated.
     std::unordered_map<std::string, std::size_t> m_services;
     std::unordered_map<SecretDigest, std::size_t> m_keys;
 };
 
-/// The host of a request as routes name it: lower case, without a port.
+/// The host of a request in the form that routes use: lower case, without a port.
 std::string normalisedHost(std::string_view);
 
 } // namespace wrenhinge
