--- a/src/version/ControllerLogic.cpp
+++ b/src/version/ControllerLogic.cpp
@@ -170,7 +170,7 @@
     if (command.base && command.version > document.version() && command.base != document.version()) {
         ProposeReply answer;
         answer.code = ResultCode::ConfigUnavailable;
-        answer.text = "the change was made against another version than the leader's";
+        answer.text = "the change is based on another version than the leader's";
         return reply(pending, std::move(answer));
     }
     if (!command.base || command.version <= document.version())
@@ -413,7 +413,7 @@
             onApplied(apply->entry, now);
         } else if (auto* restore = std::get_if<raft::Restore>(&effect)) {
             if (!m_state.load(restore->snapshot.bytes))
-                internalError("a snapshot that passed its checksum can't be read");
+                internalError("a snapshot with a valid checksum can't be decoded");
             m_raft.restoreMembers(m_state.members(), m_state.zones());
             m_raft.restoreDisks(m_state.disks());
         } else if (auto* changed = std::get_if<raft::LeaderChanged>(&effect)) {
--- a/src/version/ControllerState.cpp
+++ b/src/version/ControllerState.cpp
@@ -43,7 +43,7 @@
         reply.number = it->version.value();
         if (!hasSameContent(it->command, command)) {
             reply.code = ResultCode::ConfigConflict;
-            reply.text = "change id " + command.changeId + " was used for another change; use a new id";
+            reply.text = "change id " + command.changeId + " was already used for another change; use a new id";
         }
         return reply;
     }
@@ -121,7 +121,7 @@
     if (m_document.apply(command) == DocumentHistory::Outcome::BaseMismatch) {
         // Another document was committed between the proposal and its commit; the author's text must be proposed again.
         reply.code = ResultCode::ConfigUnavailable;
-        reply.text = "the change was made against version " + std::to_string(command.base) + ", version "
+        reply.text = "the change is based on version " + std::to_string(command.base) + ", but version "
             + std::to_string(m_document.version()) + " is in force; try again";
     }
     reply.number = m_document.version();
--- a/src/version/DiskFile.cpp
+++ b/src/version/DiskFile.cpp
@@ -24,7 +24,7 @@
 Error storageError(const std::string& what, const std::string& path)
 {
     bool isFull = errno == ENOSPC || errno == EDQUOT;
-    auto remedy = isFull ? "; make room on the disk and restart" : "; check the disk and the folder's permissions";
+    auto remedy = isFull ? "; free space on the disk and restart" : "; check the disk and the folder's permissions";
     return { isFull ? ResultCode::StorageFull : ResultCode::StorageFailed, what + " " + path + ": " + std::strerror(errno) + remedy };
 }
 
--- a/src/version/DocumentFollower.cpp
+++ b/src/version/DocumentFollower.cpp
@@ -84,7 +84,7 @@
         // Never observed. Without this a text that differs from the controllers' would remain until a restart.
         m_effects.push_back(Note { EventCode::DocumentRefused, {},
             "the steps from version " + std::to_string(transfer.request.held) + " to " + std::to_string(transfer.request.version)
-                + " don't fit; the whole is asked for" });
+                + " can't be applied; requesting the whole document" });
         m_needsWhole = true;
         m_lastFailed = transfer.from;
         return;
--- a/src/version/LogStorage.cpp
+++ b/src/version/LogStorage.cpp
@@ -62,7 +62,8 @@
     std::error_code ec;
     std::filesystem::create_directories(folder, ec);
     if (ec)
-        return Error { ResultCode::StorageFailed, "can't make " + folder + ": " + ec.message() + "; check the path in `controller.data`" };
+        return Error { ResultCode::StorageFailed,
+            "can't create " + folder + ": " + ec.message() + "; check the path in `controller.data`" };
     if (auto identity = openIdentity(newDiskId); !identity)
         return identity.error();
     auto snapshot = readSnapshot();
@@ -78,7 +79,7 @@
     for (const auto& entry : recovered.value().entries) {
         if (entry.index != ++expected)
             return Error { ResultCode::StorageCorrupt,
-                folder + ": the log lacks entry " + std::to_string(expected) + "; replace this controller's disk (docs/RECOVERY.md)" };
+                folder + ": the log has no entry " + std::to_string(expected) + "; replace this controller's disk (docs/RECOVERY.md)" };
     }
     return recovered;
 }
@@ -99,7 +100,7 @@
     }
     if (std::filesystem::exists(pathOf("log")))
         return Error { ResultCode::StorageCorrupt,
-            m_folder + " has a log but no identity; replace this controller's disk (docs/RECOVERY.md)" };
+            m_folder + " contains a log but no identity; replace this controller's disk (docs/RECOVERY.md)" };
     m_disk = newDiskId;
     return replaceFile(m_folder, "identity", encodeRecord(encodeValue(m_disk)));
 }
@@ -151,7 +152,7 @@
     m_truncatedBytes = bytes.value().size() - at;
     m_logSize = at;
     if (m_truncatedBytes && (::ftruncate(m_log, static_cast<off_t>(at)) != 0 || ::fsync(m_log) != 0))
-        return storageError("can't cut the torn end of", path);
+        return storageError("can't truncate the torn record at the end of", path);
     return recovered;
 }
 
--- a/src/version/RaftSnapshot.cpp
+++ b/src/version/RaftSnapshot.cpp
@@ -48,8 +48,8 @@
         // such a snapshot, the controller exited each time it received one. Without a reply the leader resends the chunk after its
         // timeout.
         m_incoming = {};
-        m_effects.push_back(
-            Note { EventCode::SnapshotRefused, {}, from + " sent one that can't be read, up to " + std::to_string(chunk.lastIndex) });
+        m_effects.push_back(Note { EventCode::SnapshotRefused, {},
+            from + " sent a snapshot that can't be decoded, up to index " + std::to_string(chunk.lastIndex) });
         return;
     }
     if (isWhole && chunk.lastIndex > m_commit) {
--- a/src/version/RoutingDocument.cpp
+++ b/src/version/RoutingDocument.cpp
@@ -15,11 +15,11 @@
     {
         auto name = "route '" + route.name + "'";
         if (route.host.empty())
-            return invalid(name + " has no host; name the host that its requests carry");
+            return invalid(name + " has no host; add the host of its requests");
         if (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/')
             return invalid(name + " has the prefix '" + route.prefix + "'; it must begin and end with a slash");
         if (route.timeout <= Duration::zero())
-            return invalid(name + " has no timeout; give it one above zero");
+            return invalid(name + " has no timeout; set one above zero");
         std::uint64_t weights = 0;
         for (const auto& target : route.targets) {
             if (!services.contains(target.service))
@@ -37,10 +37,10 @@
         std::map<SecretDigest, std::string> keyOwners;
         for (const auto& account : accounts) {
             if (!names.insert(account.name).second)
-                return invalid("account '" + account.name + "' stands twice; remove one");
+                return invalid("account '" + account.name + "' is defined twice; remove one");
             for (const auto& key : account.keys) {
                 if (auto [it, isNew] = keyOwners.emplace(key, account.name); !isNew && it->second != account.name)
-                    return invalid("accounts '" + it->second + "' and '" + account.name + "' share a key; give each its own");
+                    return invalid("accounts '" + it->second + "' and '" + account.name + "' have the same key; use different keys");
             }
         }
         return BOOST_OUTCOME_V2_NAMESPACE::success();
@@ -55,7 +55,7 @@
     std::set<std::string> services;
     for (const auto& service : document.services) {
         if (!services.insert(service.name).second)
-            return invalid("service '" + service.name + "' stands twice; remove one");
+            return invalid("service '" + service.name + "' is defined twice; remove one");
     }
     std::set<std::string> routeKeys;
     for (const auto& route : document.routes) {
--- a/test/correctness/RoutingTest.cpp
+++ b/test/correctness/RoutingTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Routing documents: what is valid, which route a request takes, and which document wins.
+ * Routing documents: validation, selection of the route of a request, and precedence by version.
  */
 #include "version/ControllerState.h"
 #include "version/RoutingDocument.h"
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix under the host wins")
+TEST_CASE("the longest matching prefix of the host is selected")
 {
     RouteTable table(document());
     CHECK(table.find("a", "/x/y/z")->prefix == "/x/y/");
@@ -46,7 +46,7 @@
     CHECK(normalisedHost("Desk.Example:80") == "desk.example");
 }
 
-TEST_CASE("an invalid document is refused whole, with what to mend")
+TEST_CASE("an invalid document is refused as a whole, with a remedy in the error")
 {
     CHECK(validate(document()));
     auto broken = [](auto change) {
@@ -62,12 +62,12 @@
     CHECK(broken([](auto& d) { d.routes[1].targets[0].weight = 0; }).find("weight above zero") != std::string::npos);
     CHECK(broken([](auto& d) { d.routes[1].timeout = 0s; }).find("no timeout") != std::string::npos);
     CHECK(broken([](auto& d) { d.routes[1].prefix = "/x"; }).find("begin and end with a slash") != std::string::npos);
-    CHECK(broken([](auto& d) { d.services.push_back(d.services[0]); }).find("stands twice") != std::string::npos);
+    CHECK(broken([](auto& d) { d.services.push_back(d.services[0]); }).find("is defined twice") != std::string::npos);
 }
 
-TEST_CASE("the highest version wins; one that is not higher is accepted and changes nothing")
+TEST_CASE("the highest version takes effect; a lower or equal one is accepted without effect")
 {
-    // Symptom: a configuration that was overtaken comes back. Sequence: an operator sends it again after its answer was lost.
+    // Guards against a superseded configuration that takes effect again, when an operator resends it after its reply was lost.
     ControllerState state;
     CHECK(state.apply({ 1, 1, DocumentCommand { 7, "seven" } }).code == ResultCode::Ok);
     CHECK(state.apply({ 1, 2, DocumentCommand { 5, "five" } }).code == ResultCode::Ok);
