--- a/test/correctness/DocumentTest.cpp
+++ b/test/correctness/DocumentTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * How documents change, are kept by controllers and reach gateways: as changes, part by part, on request.
+ * Changes of routing documents: their encoding, the history at controllers, and the transfer to gateways in parts on request.
  */
 #include "message/Codec.h"
 #include "version/ControllerState.h"
@@ -16,7 +16,7 @@
 
 constexpr Instant start { std::chrono::seconds(1000) };
 
-/// A text of so many lines, one of which differs by version.
+/// A text with the given number of lines, one of which depends on the version.
 std::string textOf(std::uint64_t version, int lines = 400)
 {
     std::string text = "version " + std::to_string(version) + "\n";
@@ -25,7 +25,7 @@
     return text;
 }
 
-/// A text that nothing shortens.
+/// A random text, which has no compact change.
 std::string randomText(std::size_t n, unsigned seed)
 {
     std::mt19937 random(seed);
@@ -43,7 +43,7 @@
     return history;
 }
 
-/// Gateways and controllers joined by links on which the test decides.
+/// A gateway and its controllers, with links that the test controls.
 class Bench {
 public:
     explicit Bench(std::size_t controllers)
@@ -63,7 +63,7 @@
         for (const auto& [to, offer] : m_controllers[i].source.offers(m_controllers[i].history, isCurrent, now))
             step(document::FromPeer { peerOf(i), offer });
     }
-    /// Answers questions until there is none; \returns how many parts that took.
+    /// Answers requests until none is left. \returns the number of parts sent.
     int answerAll()
     {
         int parts = 0;
@@ -121,10 +121,10 @@
 
 } // namespace
 
-TEST_CASE("a change of a text leads to the later text, whatever the two are")
+TEST_CASE("applying a change yields the new text, for any two texts")
 {
     CHECK(rc::check([](const std::vector<std::uint8_t>& seedA, const std::vector<std::uint8_t>& seedB) {
-        // Long texts with common parts in other places.
+        // Long texts with common parts at different offsets.
         std::string former, text;
         for (auto n : seedA)
             former += randomText(n, n % 7u);
@@ -138,7 +138,7 @@
     CHECK(applyChange("other", changeBetween("", "")) == "");
 }
 
-TEST_CASE("a change of one line in a large text takes a few bytes, wherever lines move")
+TEST_CASE("a change of one line in a large text takes a few bytes, also if lines are moved")
 {
     auto former = textOf(1);
     CHECK(changeBetween(former, textOf(2)).size() < 100);
@@ -146,7 +146,7 @@
     CHECK(changeBetween(former, former.substr(half) + former.substr(0, half)).size() < 300);
 }
 
-TEST_CASE("a change of another text than the one it was made for is refused, also one that points beyond it")
+TEST_CASE("a change with another base text is refused, also if it refers to bytes beyond the end")
 {
     auto change = changeBetween(textOf(1), textOf(2));
     auto other = textOf(1);
@@ -158,10 +158,10 @@
     CHECK_FALSE(applyChange(textOf(1), change));
 }
 
-TEST_CASE("a change that was made against another version than the one in force changes nothing and is told so")
+TEST_CASE("a change based on another version than the one in force is refused and has no effect")
 {
-    // Symptom: a document that nobody sent is in force. Sequence: two operators change the document at two controllers at once; both
-    // changes are made against version 1 and committed one after the other. Cause: the second would apply to version 2.
+    // Guards against a document in force that nobody submitted: two operators change the document at two controllers at once, both
+    // changes are based on version 1 and committed one after the other, and the second one is applied to version 2.
     ControllerState state;
     CHECK(state.apply({ 1, 1, DocumentCommand { 1, textOf(1) } }).code == ResultCode::Ok);
     auto second = state.document().commandFor(2, textOf(2));
@@ -170,10 +170,10 @@
     CHECK(state.apply({ 1, 2, second }).code == ResultCode::Ok);
     CHECK(state.apply({ 1, 3, third }).code == ResultCode::ConfigUnavailable);
     CHECK(state.document().text() == textOf(2));
-    // Its author's text is made a change anew.
+    // The author's text is converted to a change of the new version.
     CHECK(state.apply({ 1, 4, state.document().commandFor(3, textOf(3)) }).code == ResultCode::Ok);
     CHECK(state.document().text() == textOf(3));
-    // One that is overtaken is acknowledged without its text.
+    // A stale version is acknowledged without its text.
     CHECK(state.document().commandFor(2, textOf(2)).size() < 20);
     CHECK(state.apply({ 1, 5, state.document().commandFor(2, textOf(2)) }).number == 3);
     ControllerState copy;
@@ -182,19 +182,19 @@
     CHECK(copy.apply({ 1, 6, state.document().commandFor(4, textOf(4)) }).code == ResultCode::Ok);
 }
 
-TEST_CASE("what a controller keeps of hundreds of changes is a part of one document")
+TEST_CASE("the history of hundreds of changes is smaller than half of the document")
 {
     auto history = historyUpTo(400);
     std::size_t kept = 0;
     for (const auto& step : history.stepsFrom(390))
         kept += step.change.size();
     CHECK(kept < textOf(1).size() / 2);
-    // Whoever lacks more than is kept gets the whole.
+    // A gateway that lacks more changes than are kept gets the whole text.
     CHECK(history.stepsFrom(1).size() == 1);
     CHECK(history.stepsFrom(1).front().from == 0);
 }
 
-TEST_CASE("a gateway that starts gets the whole once, from one controller, and changes from then on")
+TEST_CASE("a gateway that starts gets the whole document once, from one controller, and only changes from then on")
 {
     Bench bench(3);
     for (std::size_t i = 0; i < 3; ++i) {
@@ -217,10 +217,10 @@
     CHECK(bench.bytes < 500);
 }
 
-TEST_CASE("versions that come while a part is under way are passed over, and a large transfer goes on beside them")
+TEST_CASE("a large transfer continues while newer versions arrive, and intermediate versions are skipped")
 {
-    // Symptom: a gateway on a slow link never obeys a change. Sequence: documents change faster than the link carries one whole.
-    // Cause: each new version makes the transfer begin anew.
+    // Guards against a gateway on a slow link that never installs a change: the document changes faster than the link can transfer it,
+    // and each new version restarts the transfer.
     Bench bench(1);
     bench.apply(0, 1, randomText(300000, 1));
     bench.offer(0);
@@ -237,10 +237,10 @@
     CHECK(*bench.installed.back().text == text);
 }
 
-TEST_CASE("a controller that does not answer is given up for another one")
+TEST_CASE("if a controller does not reply, another one is asked")
 {
-    // Symptom: a gateway stays at an old version though controllers hold a newer one. Sequence: the controller that it asked is cut off
-    // without a reset. Cause: nobody else was asked.
+    // Guards against a gateway that stays at an old version although controllers have a newer one: the controller that it asked is
+    // partitioned without a connection reset, and no other controller is asked.
     Bench bench(2);
     bench.setUnresponsive(0);
     bench.setUnresponsive(1);
@@ -249,7 +249,7 @@
         bench.offer(i);
     }
     CHECK(bench.answerAll() == 0);
-    // Whichever was asked first, one of the next two questions goes to the other, also if both stay silent for a while.
+    // Whichever was asked first, one of the next two requests goes to the other, also if both do not reply for a while.
     for (int i = 0; i < 3; ++i) {
         bench.now = bench.follower.nextWake();
         bench.step(document::Tick {});
@@ -258,11 +258,10 @@
     CHECK(bench.follower.nextWake() < Instant::max());
 }
 
-TEST_CASE("a gateway whose answers take longer than it waits gets its document all the same")
+TEST_CASE("a gateway gets its document although replies take longer than its timeout")
 {
-    // Symptom: a gateway with a link full of other traffic never obeys a change, and adds to that traffic all the while. Sequence: an
-    // answer takes a little longer than the time after which another controller is asked. Cause: the transfer begins anew there with
-    // its first part, each time.
+    // Guards against a gateway on a congested link that never installs a change and adds to the congestion: replies take a little longer
+    // than the timeout after which another controller is asked, and each time the transfer restarts there with its first part.
     constexpr Duration latency = 1200ms;
     constexpr std::size_t controllers = 3;
     DocumentHistory history;
@@ -309,8 +308,8 @@
 
 TEST_CASE("a gateway that missed hundreds of small changes does not copy the whole text for each of them")
 {
-    // Symptom: a gateway that was cut off for an hour of small changes stands still for seconds when it is back. Cause: each step copies
-    // and checks the whole text, and a part of the text's bytes held thousands of steps.
+    // Guards against a gateway that blocks for seconds when it reconnects after an hour of small changes: each step copies and checks the
+    // whole text, and the limit in bytes alone allowed thousands of steps.
     auto text = randomText(100000, 7);
     DocumentHistory history;
     for (std::uint64_t version = 1; version <= 600; ++version) {
@@ -321,7 +320,7 @@
     CHECK(history.stepsFrom(599).front().from == 599);
 }
 
-TEST_CASE("a link that ends within a transfer is made up for by another controller")
+TEST_CASE("if a link closes during a transfer, another controller completes it")
 {
     Bench bench(2);
     for (std::size_t i = 0; i < 2; ++i) {
@@ -335,9 +334,9 @@
     CHECK(*bench.installed.back().text == randomText(200000, 3));
 }
 
-TEST_CASE("an older version that a controller offers late is not gone back to, and does not confirm")
+TEST_CASE("an older version that is offered late is neither installed nor confirms the one held")
 {
-    // Symptom: requests are handled by an older document after a newer one. Cause: a controller that was cut off pushes what it has.
+    // Guards against a return to an older document after a newer one, when a controller that was partitioned offers its own version.
     Bench bench(2);
     bench.apply(0, 5, textOf(5));
     bench.offer(0, false);
@@ -349,7 +348,7 @@
     bench.answerAll();
     CHECK(bench.installed.size() == 1);
     CHECK(bench.confirmed == 5);
-    // Offered as the newest, a version that is not here yet confirms nothing.
+    // A version offered as the newest that is not installed yet confirms nothing.
     bench.confirmed = 0;
     bench.apply(1, 6, textOf(6));
     bench.offer(1, true);
@@ -358,13 +357,13 @@
     CHECK(bench.installed.back().isCurrent);
 }
 
-TEST_CASE("steps that do not fit what a gateway holds make it ask for the whole")
+TEST_CASE("a gateway requests the whole document if the steps received don't apply to the one it holds")
 {
     Bench bench(1);
     bench.apply(0, 1, textOf(1));
     bench.offer(0);
     bench.answerAll();
-    // A part that claims to be the steps and isn't.
+    // A part with forged steps.
     bench.apply(0, 2, textOf(2));
     bench.offer(0);
     std::vector<DocumentStep> steps { { 1, 2, changeBetween(randomText(9, 9), textOf(9)) } };
--- a/test/correctness/MembershipTest.cpp
+++ b/test/correctness/MembershipTest.cpp
@@ -1,8 +1,7 @@
 /** \file
- * The log's members change while it runs: founding, growth, learners, replacement of what is gone, wiped disks, a second loss.
+ * Membership changes of a running log: bootstrap, growth, learners, replacement of failed members, wiped disks, a second failure.
  *
- * The real Raft objects, with disks and links held by the test, on virtual time. The first letter of a controller's name is its
- * availability zone.
+ * Uses real Raft objects with simulated disks, links and time. The first letter of a controller's name is its availability zone.
  */
 #include "version/MembershipPlan.h"
 #include "version/Raft.h"
@@ -19,7 +18,7 @@
 constexpr Instant start { std::chrono::seconds(1000) };
 constexpr Duration step = 10ms;
 
-/// One controller's disk: what was made durable.
+/// The durable content of one controller's disk.
 struct Disk {
     DiskId id;
     raft::Recovered content;
@@ -55,7 +54,7 @@
             raft->removePeer(name);
     }
     void partition(const std::string& name) { m_partitioned.insert(name); }
-    /// Its process stands still, and so does its clock; what it is sent is lost.
+    /// Suspends the process and its clock; messages to it are lost.
     void suspend(const std::string& name) { m_suspended.insert(name); }
     void resume(const std::string& name) { m_suspended.erase(name); }
 
@@ -82,7 +81,7 @@
     }
     Raft& at(const std::string& name) { return *m_running.at(name); }
 
-    /// Commits a document. \returns whether that succeeded within some time.
+    /// Commits a document, with up to 30 attempts. \returns whether it succeeded.
     bool commit(std::uint64_t version)
     {
         for (int i = 0; i < 30; ++i) {
@@ -104,7 +103,7 @@
     /// The newest document that a controller has applied.
     std::uint64_t applied(const std::string& name) { return m_applied[name]; }
     std::vector<std::string> members() { return leader() ? leader()->members() : std::vector<std::string>(); }
-    /// Waits until there are so many members, of which nobody in `gone` is one. \returns whether that came within some time.
+    /// Waits for `count` members, none of which is in `excluded`. \returns whether that happened within 10 s.
     bool awaitMembers(std::size_t count, const std::vector<std::string>& excluded = {})
     {
         for (int i = 0; i < 1000; ++i) {
@@ -213,14 +212,14 @@
     std::map<std::string, std::uint64_t> m_applied;
     std::set<std::string> m_partitioned;
     std::set<std::string> m_suspended;
-    std::map<std::string, Duration> m_clockDelay; ///< By how much its clock is behind.
+    std::map<std::string, Duration> m_clockDelay; ///< How far the clock of a controller is behind.
     std::deque<Envelope> m_envelopes;
     Instant m_now = start;
     std::uint64_t m_lastDisk = 0;
     std::uint64_t m_lastSeed = 0;
 };
 
-/// Another controller; the first letter of its name is its zone.
+/// A peer of the leader; the first letter of its name is its zone.
 membership::PeerStatus peer(const std::string& name, std::uint64_t match = 100, Duration sinceLastReply = 0ms)
 {
     return { name, name.substr(0, 1), sinceLastReply == 0ms, false, true, match, sinceLastReply };
@@ -230,13 +229,13 @@
 
 using Names = std::vector<std::string>;
 
-/// The plan of the first of the members, after a hundred entries.
+/// The plan of the first member as the leader, after a hundred entries.
 std::optional<Names> plan(const Names& members, const std::vector<membership::PeerStatus>& others, std::size_t toleratedFailures = 0)
 {
     return membership::plan({ members, members.front(), members.front().substr(0, 1), others, 100, toleratedFailures });
 }
 
-/// The clusters of the tests below: three founders of three zones, and a second controller in each.
+/// The clusters of the tests below: three initial members in three zones, and a second controller in each zone.
 const Names initialMembers { "a1", "b1", "c1" };
 const Names allControllers { "a1", "a2", "b1", "b2", "c1", "c2" };
 
@@ -248,7 +247,7 @@
 
 } // namespace
 
-TEST_CASE("a silent member is replaced by a learner that has caught up, one step at a time")
+TEST_CASE("an unavailable member is replaced by a learner that has caught up, one step at a time")
 {
     Names abc { "a", "b", "c" };
     CHECK(!plan(abc, { peer("b"), peer("c"), peer("d") }));
@@ -258,12 +257,12 @@
     CHECK(plan({ "a", "b", "c", "d" }, { peer("b"), unresponsivePeer("c"), peer("d") }) == Names { "a", "b", "d" });
 }
 
-TEST_CASE("no member is removed when those left would be no majority of the present members")
+TEST_CASE("no member is removed if the healthy members are no majority of the current members")
 {
     CHECK(!plan({ "a", "b", "c", "d" }, { unresponsivePeer("b"), unresponsivePeer("c"), peer("d") }));
 }
 
-TEST_CASE("members are added in pairs up to two for each loss to bear and one")
+TEST_CASE("members are added in pairs, up to 2f + 1 for f failures to tolerate")
 {
     Names three { "a1", "b1", "c1" };
     auto b1 = peer("b1");
@@ -276,24 +275,24 @@
     CHECK(!plan(three, { b1, c1, peer("a2"), peer("b2") }, 1));
 }
 
-TEST_CASE("an even number is a step on the way: it is left upwards with a learner, else downwards")
+TEST_CASE("an even number of members is intermediate: it grows if there is a learner, otherwise it shrinks")
 {
     Names four { "a1", "b1", "c1", "a2" };
     auto b1 = peer("b1");
     auto c1 = peer("c1");
     CHECK(plan(four, { b1, c1, peer("a2") }, 2) == Names { "a1", "b1", "c1" });
     CHECK(plan(four, { b1, c1, peer("a2"), peer("b2") }, 1) == Names { "a1", "b1", "c1" });
-    // Two founders are not made one: that bears no more losses, and a single disk holds everything.
+    // Two members are not reduced to one: that tolerates no more failures, and leaves all data on a single disk.
     CHECK(!plan({ "a1", "b1" }, { b1 }, 1));
     CHECK(plan({ "a1", "b1" }, { b1, c1 }, 1) == Names { "a1", "b1", "c1" });
 }
 
-TEST_CASE("a learner of the zone with the fewest voters goes first, and a zone with two more gives one up")
+TEST_CASE("a learner in the zone with the fewest voters is added first, and replaces a voter of a zone with two more")
 {
     auto b1 = peer("b1");
     auto c1 = peer("c1");
     CHECK(plan({ "a1", "b1", "c1" }, { b1, c1, peer("a2"), peer("d1") }, 2) == Names { "a1", "b1", "c1", "d1" });
-    // The zone of the silent member has no voter left.
+    // The zone of the unavailable member has no voter left.
     CHECK(plan({ "a1", "b1", "c1" }, { b1, unresponsivePeer("c1"), peer("a2"), peer("c2") }, 1) == Names { "a1", "b1", "c1", "c2" });
     Names skewed { "a1", "b1", "b2" };
     CHECK(plan(skewed, { b1, peer("b2"), peer("c1") }, 1) == Names { "a1", "b1", "b2", "c1" });
@@ -301,7 +300,7 @@
     CHECK(!plan({ "a1", "b1", "c1" }, { b1, c1, peer("d1") }, 1));
 }
 
-TEST_CASE("who keeps nothing is never added, and a member that counts for nothing does not make a removal safe")
+TEST_CASE("a controller without a disk is never added, and a member with an unregistered disk does not make a removal safe")
 {
     auto diskless = peer("a2");
     diskless.isDiskless = true;
@@ -312,7 +311,7 @@
     CHECK(!plan({ "a1", "b1", "c1", "d1" }, { peer("b1"), wiped, unresponsivePeer("d1") }, 1));
 }
 
-TEST_CASE("founders agree, a fourth controller learns, and a restart with other settings finds the members in the log")
+TEST_CASE("three members are bootstrapped, a fourth controller learns, and a restart with other settings keeps the members")
 {
     Cluster cluster({ "a", "b", "c" });
     cluster.advance(2s);
@@ -330,10 +329,10 @@
     CHECK(cluster.members() == Names { "a", "b", "c" });
 }
 
-TEST_CASE("a controller that is gone for good is replaced, and then a second one may go")
+TEST_CASE("a permanently failed controller is replaced, and then a second one may fail")
 {
-    // Symptom: after the second loss nothing is accepted any more. Sequence: c is lost for good, d comes at another address with
-    // an empty disk, seconds later a is lost. Cause: d never counted, so two of three voters were gone.
+    // Guards against a log that accepts nothing after a second failure: c fails permanently, d connects from another address with an
+    // empty disk, and a fails seconds later. As d was never made a voter, two of three voters had failed.
     Cluster cluster({ "a", "b", "c" });
     cluster.advance(2s);
     REQUIRE(cluster.commit(1));
@@ -347,7 +346,7 @@
     CHECK(cluster.applied("d") == 2);
 }
 
-TEST_CASE("a learner never decides anything: without a majority of the members nothing is accepted")
+TEST_CASE("a learner does not count: without a majority of the members nothing is accepted")
 {
     Cluster cluster({ "a", "b", "c" });
     cluster.startEmpty("d");
@@ -360,9 +359,9 @@
     CHECK(cluster.commit(3));
 }
 
-TEST_CASE("a wiped disk does not vote for what it has forgotten, and counts again once it is registered")
+TEST_CASE("a member with a wiped disk does not vote, and counts again once the disk is registered")
 {
-    // Symptom: an accepted document is gone. Sequence: a and c hold it, b does not; c loses its disk and helps b to lead.
+    // Guards against the loss of an accepted document: a and c have stored it, b has not; c loses its disk and then votes for b.
     Cluster cluster({ "a", "b", "c" });
     cluster.advance(2s);
     cluster.stop("b");
@@ -383,7 +382,7 @@
     CHECK(cluster.commit(2));
 }
 
-TEST_CASE("a member that was replaced while it was cut off comes back as a learner and disturbs nobody")
+TEST_CASE("a member that was replaced while it was stopped returns as a learner without starting an election")
 {
     Cluster cluster({ "a", "b", "c" });
     cluster.startEmpty("d");
@@ -401,10 +400,10 @@
     CHECK(cluster.applied("c") == 2);
 }
 
-TEST_CASE("controllers that all start again elect a leader before an election timeout has passed")
+TEST_CASE("controllers that all restart elect a leader before an election timeout has passed")
 {
-    // Symptom: after a power loss of the whole site all requests are refused for most of a second more than the machines need.
-    // Sequence: all controllers start within some 100 ms and link. Cause: each waited for a whole election timeout first.
+    // Guards against a delay of most of a second, in which all requests are refused, after a power loss of the whole site: all
+    // controllers start and connect within some 100 ms, but each waits for a whole election timeout first.
     Cluster cluster({ "a", "b", "c" });
     cluster.advance(2s);
     REQUIRE(cluster.commit(1));
@@ -420,7 +419,7 @@
     }
 }
 
-TEST_CASE("a controller that starts beside a leader does not disturb it")
+TEST_CASE("a controller that starts while there is a leader does not cause an election")
 {
     Cluster cluster({ "a", "b", "c" });
     cluster.advance(2s);
@@ -437,10 +436,10 @@
     }
 }
 
-TEST_CASE("three founders grow to as many voters as the losses need, spread over the zones")
+TEST_CASE("three initial members grow to the voters that the failures to tolerate need, spread over the zones")
 {
-    // Symptom: after two disks of three are lost nothing is accepted or read any more, with five sound machines at hand.
-    // Sequence: three founders, three more controllers; two founders lose their disks at once. Cause: the others only learn.
+    // Guards against a log that accepts and reads nothing after two of three disks are lost, although five machines are healthy: three
+    // initial members, three more controllers, and two initial members lose their disks at once. The others were only learners.
     Cluster cluster(initialMembers, 2);
     startRemaining(cluster);
     REQUIRE(cluster.awaitMembers(5));
@@ -451,7 +450,7 @@
         CHECK(cluster.applied(name) == 1);
 }
 
-TEST_CASE("with fewer disks than the losses need there are as many voters as the largest odd number of them")
+TEST_CASE("with fewer disks than the failures to tolerate need, the number of voters is the largest odd number of disks")
 {
     Cluster cluster(initialMembers, 2);
     cluster.startEmpty("a2");
@@ -462,10 +461,10 @@
     REQUIRE(cluster.commit(1));
 }
 
-TEST_CASE("any two voters lose their disks at once, and the other three take them back")
+TEST_CASE("any two voters lose their disks at once, and the other three register their new disks")
 {
-    // Symptom and sequence as above, for every pair of voters, the leader among them. Cause: a wiped disk has forgotten its votes,
-    // so a majority that has not must register it, and two of three are no such majority.
+    // The failure of the test above, for every pair of voters, including the leader. A wiped disk has lost its votes, so a majority
+    // with intact disks must register it, and with two of three disks wiped there is no such majority.
     for (std::size_t i = 0; i < 5; ++i) {
         for (auto k = i + 1; k < 5; ++k) {
             Cluster cluster(initialMembers, 2);
@@ -486,7 +485,7 @@
             cluster.advance(1s);
             for (const auto& name : allControllers)
                 CHECK(cluster.applied(name) == 2);
-            // Whole again: two others may go.
+            // Fully repaired: two others may fail.
             for (std::size_t n = 0, stopped = 0; n < 5 && stopped < 2; ++n) {
                 if (n != i && n != k) {
                     cluster.stop(voters[n]);
@@ -499,7 +498,7 @@
     }
 }
 
-TEST_CASE("a second voter is lost while the first is still being replaced")
+TEST_CASE("a second voter fails while the first is still being replaced")
 {
     for (auto between = 0ms; between <= 3000ms; between += 100ms) {
         CAPTURE(between.count());
@@ -514,7 +513,7 @@
         cluster.advance(between);
         cluster.stop(leader);
         REQUIRE(cluster.commit(2));
-        // Both come back with empty disks.
+        // Both restart with empty disks.
         cluster.startEmpty(voters[0]);
         cluster.startEmpty(leader);
         cluster.advance(4s);
@@ -523,10 +522,10 @@
     }
 }
 
-TEST_CASE("two voters are lost right after a learner has taken the place of a third")
+TEST_CASE("two voters fail right after a learner has replaced a third")
 {
-    // Symptom: nothing is accepted although two losses are to be borne and the first one was repaired. Sequence: a voter is gone, the
-    // sixth controller takes its place, two others go at once. Cause: the new voter is on the list, but may not vote yet.
+    // Guards against a log that accepts nothing although two failures must be tolerated and the first one was repaired: a voter fails,
+    // the sixth controller replaces it, and two others fail at once. The new voter was a member, but could not vote yet.
     Cluster cluster(initialMembers, 2);
     startRemaining(cluster);
     REQUIRE(cluster.awaitMembers(5));
@@ -543,7 +542,7 @@
     CHECK(cluster.applied(voters[2]) == 2);
 }
 
-TEST_CASE("a founder loses its disk at any moment of the growth")
+TEST_CASE("an initial member loses its disk at any moment of the growth")
 {
     for (auto at = 0ms; at <= 3000ms; at += 50ms) {
         CAPTURE(at.count());
@@ -581,7 +580,7 @@
     }
 }
 
-TEST_CASE("all controllers start again at any moment of the growth")
+TEST_CASE("all controllers restart at any moment of the growth")
 {
     for (auto at = 0ms; at <= 2000ms; at += 20ms) {
         CAPTURE(at.count());
@@ -602,7 +601,7 @@
     }
 }
 
-TEST_CASE("a founder that never comes is replaced while the members grow")
+TEST_CASE("an initial member that never starts is replaced while the members grow")
 {
     Cluster cluster(initialMembers, 2);
     cluster.stop("c1");
@@ -628,11 +627,11 @@
     CHECK(!cluster.commit(3));
 }
 
-TEST_CASE("a leader that was frozen does not commit with a wiped disk what the others never heard of")
+TEST_CASE("a leader that was suspended does not commit an entry with a wiped disk against newer entries of the others")
 {
-    // Symptom: an accepted document is gone, and another is in its place. Sequence: the leader is frozen, the two others elect one of
-    // themselves and accept a document; that one goes down, the third loses its disk, and the former leader goes on as if no time
-    // had passed. Cause: the entry that registers the wiped disk was counted as stored by that very disk, and committed by it.
+    // Guards against an accepted document that is replaced by another one: the leader is suspended, the two others elect one of
+    // themselves and accept a document; that one stops, the third loses its disk, and the former leader resumes as if no time had
+    // passed. The entry that registers the wiped disk was committed with the acknowledgement of this very disk.
     Cluster cluster({ "a", "b", "c" }, 1);
     cluster.advance(2s);
     REQUIRE(cluster.commit(1));
--- a/test/correctness/RaftTest.cpp
+++ b/test/correctness/RaftTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The replicated log's single rules, beside what scenarios, random schedules and the model say of the whole.
+ * Individual rules of the replicated log. Scenarios, random schedules and the model check the whole.
  */
 #include "version/Raft.h"
 #include "version/ControllerState.h"
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("a vote is stored before it is told, and given once a term")
+TEST_CASE("a vote is persisted before it is sent, and granted once per term")
 {
     Raft raft(settingsOf("a"), {}, start);
     raft.recover();
@@ -57,7 +57,7 @@
     CHECK(!sent<VoteReply>(second)[0].granted);
 }
 
-TEST_CASE("a pre-vote changes nothing")
+TEST_CASE("a pre-vote does not change the term")
 {
     Raft raft(settingsOf("a"), {}, start);
     raft.recover();
@@ -66,7 +66,7 @@
     CHECK(raft.term() == 0);
 }
 
-TEST_CASE("who hears a leader votes for nobody else")
+TEST_CASE("a member in contact with a leader votes for no other candidate")
 {
     Raft raft(settingsOf("a"), {}, start);
     raft.recover();
@@ -76,7 +76,7 @@
     CHECK(raft.term() == 3);
 }
 
-TEST_CASE("a fresh disk does not vote outside a founding")
+TEST_CASE("an empty disk does not vote except when a cluster is bootstrapped")
 {
     Raft raft(settingsOf("a", false), {}, start);
     raft.recover();
@@ -85,7 +85,7 @@
     CHECK(raft.serverState() == Raft::ServerState::Follower);
 }
 
-TEST_CASE("a shorter or older log gets no vote")
+TEST_CASE("a candidate with a shorter or older log gets no vote")
 {
     raft::Recovered recovered;
     recovered.hardState = { 4, "", true };
@@ -96,7 +96,7 @@
     CHECK(sent<VoteReply>(raft.receive("b", VoteRequest { 8, 2, 4, false, DiskId('b') }, start))[0].granted);
 }
 
-TEST_CASE("entries are stored before they are acknowledged, and contradicting ones voided")
+TEST_CASE("entries are persisted before they are acknowledged, and conflicting entries deleted")
 {
     raft::Recovered recovered;
     recovered.hardState = { 2, "", true };
@@ -105,7 +105,7 @@
     AppendRequest append { 3, 1, 1, 0, 1, { { 3, 2, NoopCommand {} } } };
     auto effects = raft.receive("b", append, start);
     auto at = firstOf<raft::Persist>(effects);
-    // The first record is the new term; the entry's comes after it and before the reply.
+    // The first record has the new term; the record with the entry follows it and precedes the reply.
     bool hasTruncation = false;
     for (; at < firstOf<raft::Send>(effects); ++at) {
         if (const auto* persist = std::get_if<raft::Persist>(&effects[at]); persist && persist->truncateFrom == 2)
@@ -115,7 +115,7 @@
     CHECK(sent<AppendReply>(effects)[0].match == 2);
 }
 
-TEST_CASE("a message of a former term changes nothing")
+TEST_CASE("a message from an earlier term has no effect")
 {
     raft::Recovered recovered;
     recovered.hardState = { 7, "", true };
@@ -125,7 +125,7 @@
     CHECK(raft.lastIndex() == 0);
 }
 
-TEST_CASE("a state survives saving and loading")
+TEST_CASE("a state that is saved and loaded stays the same")
 {
     ControllerState state;
     state.apply({ 1, 1, ConfigCommand { 1, "x", "me", { { "account/a/rate", "1/s" } }, {} } });
@@ -141,7 +141,7 @@
     CHECK(!copy.load("rubbish"));
 }
 
-TEST_CASE("the conflict of equal numbers shows what the winner set")
+TEST_CASE("the error for an equal number shows what the accepted change has set")
 {
     ControllerState state;
     state.apply({ 1, 1, ConfigCommand { 1, "x", "ann", { { "account/a/rate", "1/s" } }, {} } });
--- a/test/correctness/ReplicationTest.cpp
+++ b/test/correctness/ReplicationTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * How a member that is behind is brought up to date: what it costs on links, what its disk holds after it, and what it may say meanwhile.
+ * Catch-up of a member that is behind: the bytes sent, the content of its disk afterwards, and its messages in the meantime.
  */
 #include "Folder.h"
 #include "message/Codec.h"
@@ -36,7 +36,7 @@
     return recovered;
 }
 
-/// A leader and a member with an empty log, joined by a link; a third member acknowledges all at once.
+/// A leader and a follower with an empty log, connected by a link; a third member acknowledges everything at once.
 class LeaderAndFollower {
 public:
     explicit LeaderAndFollower(raft::Recovered content)
@@ -53,7 +53,7 @@
         REQUIRE(m_leader.isLeader());
     }
 
-    /// The member stands still, and what it is sent waits.
+    /// The follower is suspended; messages to it are queued.
     void suspendFollowerFor(int heartbeats)
     {
         for (int i = 0; i < heartbeats; ++i) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// What was sent to the member so far arrives, and its answers do; what the leader sends then waits.
+    /// Delivers the messages sent to the follower so far, and its replies; messages that the leader then sends are queued.
     void deliverOnce()
     {
         auto toFollower = std::exchange(m_toFollower, {});
@@ -77,7 +77,7 @@
             perform(m_leader.receive("b", message, m_now));
     }
 
-    /// Messages go back and forth until there are none.
+    /// Delivers messages in both directions until none is left.
     void deliverAll()
     {
         while (!m_toFollower.empty())
@@ -86,7 +86,7 @@
 
     [[nodiscard]] const Raft& leader() const { return m_leader; }
     [[nodiscard]] const Raft& follower() const { return m_follower; }
-    /// Bytes that the leader has sent to the member.
+    /// Bytes that the leader has sent to the follower.
     [[nodiscard]] std::size_t sentBytes() const { return m_sentBytes; }
 
 private:
@@ -116,11 +116,11 @@
 
 } // namespace
 
-TEST_CASE("a leader whose members are slow to reply goes on until an election could have been held without it")
+TEST_CASE("a leader without replies keeps leading until another leader could have been elected")
 {
-    // Symptom: no change is accepted while disks are slow, and one election follows another. Sequence: a leader is elected; its members'
-    // first replies wait for their disks for longer than a heartbeat. Cause: a member counted as heard of only once it had said that it
-    // knows its disk to be registered, so that the new leader's first look found it alone.
+    // Guards against repeated elections without an accepted change on slow disks: a leader is elected, and the first replies of its
+    // members wait for their disks for longer than a heartbeat interval. When a member counted as reachable only after it had confirmed
+    // the registration of its disk, the first check of a new leader found no majority.
     Raft leader(settingsOf("a"), recoveredAt(1), start);
     leader.recover();
     auto now = leader.nextWake();
@@ -136,10 +136,10 @@
     CHECK_FALSE(leader.isLeader());
 }
 
-TEST_CASE("a member that lacks entries is sent them once, however many heartbeats it refused")
+TEST_CASE("missing entries are sent once, however many heartbeats the member has rejected")
 {
-    // Symptom: the link to a controller that was behind carries a document many times over and is given up. Sequence: the controller
-    // stands still while heartbeats wait for it; it then refuses each of them. Cause: each refusal sends all that it lacks.
+    // Guards against a document that is sent many times to a controller that is behind, until its link is closed: the controller is
+    // suspended while heartbeats are queued for it, then rejects each of them, and each rejection resends all missing entries.
     auto content = recoveredAt(1);
     content.entries = { { 1, 1, DocumentCommand { 1, std::string(documentBytes, 'x'), 0, {} } } };
     LeaderAndFollower pair(content);
@@ -149,11 +149,11 @@
     CHECK(pair.sentBytes() < 2 * documentBytes);
 }
 
-TEST_CASE("a snapshot goes over the link once, however often its first chunk was sent again")
+TEST_CASE("a snapshot is sent once, however often its first chunk was resent")
 {
-    // Symptom: the link to a controller with an empty disk is full for seconds. Sequence: it stands still after it was sent the first
-    // chunk; each heartbeat repeats that one. Cause: each answer to a repeated chunk is followed by the next chunk, so all chunks are
-    // repeated.
+    // Guards against a link to a controller with an empty disk that is congested for seconds: the controller is suspended after the first
+    // chunk was sent, each heartbeat resends this chunk, and each reply to a resent chunk sends the next chunk, so that all chunks are
+    // duplicated.
     auto content = recoveredAt(1);
     content.snapshot = { 10, 1, std::string(documentBytes, 'x') };
     LeaderAndFollower pair(content);
@@ -164,11 +164,11 @@
     CHECK(pair.sentBytes() < 2 * documentBytes);
 }
 
-TEST_CASE("entries that a snapshot has voided do not come back from the disk")
+TEST_CASE("entries that a snapshot has replaced are deleted from the disk")
 {
-    // Symptom: a controller does not start any more: "the log lacks entry 21". Sequence: it led and wrote entries that nobody else took;
-    // the next leader has compacted its own entries in their place and sends a snapshot; one more entry, and a restart. Cause: the voided
-    // entries beyond the snapshot stay on the disk, and the new one follows them there.
+    // Guards against a controller that does not start: "the log has no entry 21". As the leader it wrote entries that no other member
+    // stored; the next leader has compacted its own entries at these indexes and sends a snapshot, then one more entry, and the
+    // controller restarts. The replaced entries beyond the snapshot were still on the disk, followed by the new entry.
     Folder folder;
     LogStorage storage;
     REQUIRE(storage.open(folder.path(), DiskId('b')));
@@ -199,11 +199,11 @@
     CHECK(recovered.value().entries.front().term == 2);
 }
 
-TEST_CASE("a snapshot is not put together from the bytes of two leaders")
+TEST_CASE("a snapshot is not assembled from the chunks of two leaders")
 {
-    // Symptom: a controller ends with "a snapshot that passed its checksum can't be read", also after each restart. Sequence: a leader ends
-    // within the transfer; the next one has a snapshot up to the same entry and sends it from the beginning. Cause: the transfer goes on
-    // with the second one's bytes, which need not be the same: the order of what a state holds is not.
+    // Guards against a controller that exits with "a snapshot with a valid checksum can't be decoded", also after each restart: a leader
+    // stops during the transfer, and the next one has a snapshot up to the same entry and sends it from the beginning. The transfer was
+    // continued with the bytes of the second one, which may differ, since the order of the elements in a state may differ.
     Raft raft(settingsOf("b"), recoveredAt(1), start);
     raft.recover();
     raft.receive("a", SnapshotChunk { 2, 15, 2, 0, "aaaa", false }, start);
@@ -230,7 +230,7 @@
     return hello;
 }
 
-/// What a controller offered last to the gateway.
+/// The last offer that a controller sent to the gateway.
 std::optional<DocumentOffer> lastOffer(const ControllerLogic::Effects& effects)
 {
     std::optional<DocumentOffer> last;
@@ -244,11 +244,11 @@
 
 } // namespace
 
-TEST_CASE("a controller does not call its document the newest before its leader knows what was committed")
+TEST_CASE("a controller does not offer its document as the newest before its leader knows the commit index")
 {
-    // Symptom: after the whole site has lost power, gateways serve by a document that was overtaken long before. Sequence: version 1 is in
-    // the snapshots, version 6 was acknowledged and stands in the logs; all start, one is elected and tells its first heartbeat. Cause: a
-    // leader that has committed nothing yet tells the commit index of its snapshot, and a member that has got as far calls that the newest.
+    // Guards against gateways that use an outdated document after a power loss of the whole site: version 1 is in the snapshots, version 6
+    // was acknowledged and is in the logs; all controllers start, and the elected leader sends its first heartbeat. A leader that has not
+    // committed an entry yet sends the commit index of its snapshot, and a member that had applied that index offered it as the newest.
     ControllerState former;
     former.apply({ 1, 1, DocumentCommand { 1, "version 1", 0, {} } });
     auto content = recoveredAt(3);
@@ -269,10 +269,10 @@
     CHECK(offer->isCurrent);
 }
 
-TEST_CASE("a read that the leader was asked for is refused when the link to it ends")
+TEST_CASE("a read forwarded to the leader is rejected when the link to it closes")
 {
-    // Symptom: a read back waits for its whole patience and fails, and what asked for it is kept for ever. Sequence: a controller that
-    // does not lead asks the leader, whose link ends before the answer. Cause: only proposals were refused then.
+    // Guards against a read that waits for its whole timeout and fails, and whose state is kept for ever: a controller forwards it to the
+    // leader, and the link closes before the reply. Only proposals were rejected in this case.
     ControllerLogic logic(settingsOf("c"), recoveredAt(3), start);
     logic.start();
     constexpr std::uint64_t ticket = 7;
@@ -290,10 +290,10 @@
     CHECK(replies == 1);
 }
 
-TEST_CASE("documents that come to the leader together are all accepted, whatever they were changes of when they came")
+TEST_CASE("documents that reach the leader together are all accepted, whichever version they are based on")
 {
-    // Symptom: of eight orders at once most are refused three times and end with 503, one by one. Sequence: they are forwarded as changes
-    // of version 1, and wait for one another at the leader. Cause: once the first is applied, the others are changes of a former version.
+    // Guards against eight simultaneous updates of which most are rejected three times and fail with 503: they are forwarded as changes of
+    // version 1 and queued at the leader, and once the first is applied, the others are based on an old version.
     auto settings = settingsOf("a");
     settings.members = { "a" };
     ControllerLogic logic(settings, recoveredAt(1), start);
--- a/test/correctness/StorageTest.cpp
+++ b/test/correctness/StorageTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The log on disk: what a crash leaves, what damage looks like, what a full disk does.
+ * The log on disk: recovery after a crash, detection of damage, and errors of a full disk.
  */
 #include "Folder.h"
 #include "version/LogStorage.h"
@@ -42,7 +42,7 @@
     f.put(static_cast<char>(c ^ 0x55));
 }
 
-/// Each entry durable on its own.
+/// Writes and syncs each entry on its own.
 void writeEach(LogStorage& storage, std::uint64_t from, std::uint64_t to)
 {
     for (auto i = from; i <= to; ++i) {
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("what was synced is read back, with the disk's identity")
+TEST_CASE("synced records and the disk's identity are read back")
 {
     Folder folder;
     {
@@ -75,9 +75,9 @@
     CHECK(recovered.value().entries.size() == 3);
 }
 
-TEST_CASE("a torn end is cut and the rest kept")
+TEST_CASE("a torn record at the end is truncated and the rest kept")
 {
-    // Symptom: a controller does not start after a crash. Sequence: power fails in the middle of a write.
+    // Guards against a controller that does not start after a power failure during a write.
     for (std::uintmax_t lost = 1; lost < 40; lost += 5) { // Less than one record.
         Folder folder;
         {
@@ -92,7 +92,7 @@
     }
 }
 
-TEST_CASE("damage in the middle is refused with what to do")
+TEST_CASE("damage in the middle of the log is refused, with a remedy in the error")
 {
     Folder folder;
     {
@@ -144,9 +144,9 @@
     CHECK(recovered.value().hardState.term == 2);
 }
 
-TEST_CASE("a full disk fails the write and loses nothing of before")
+TEST_CASE("on a full disk the write fails and earlier records are kept")
 {
-    // A limit on the size of files stands in for the full disk.
+    // A limit on the file size simulates a full disk.
     Folder folder;
     std::signal(SIGXFSZ, SIG_IGN);
     rlimit former {};
@@ -179,11 +179,11 @@
     CHECK(storage.open(folder.path(), DiskId(7)).error().code == ResultCode::StorageCorrupt);
 }
 
-TEST_CASE("what one sync covers is there whole or not at all")
+TEST_CASE("the records of one sync are recovered completely or not at all")
 {
-    // Symptom: after a power loss a controller refuses to start, saying that its log is damaged. Sequence: several records are
-    // written, power fails before their sync, and the disk has kept a later one without an earlier one. Cause: each record was
-    // a write of its own, so that the hole between them looked like damage in the middle.
+    // Guards against a controller that reports a damaged log after a power loss and does not start: several records are written,
+    // power fails before their sync, and the disk has kept a later one without an earlier one. When each record was a write of
+    // its own, the gap between them looked like damage in the middle.
     Folder folder;
     {
         LogStorage storage;
@@ -198,11 +198,11 @@
     CHECK(recoveredEntries(folder.path()) == 3);
 }
 
-TEST_CASE("a torn record of megabytes is cut without trying every byte for a record")
+TEST_CASE("a torn record of megabytes is truncated without trying every byte as the start of a record")
 {
-    // Symptom: after a power loss a controller takes minutes to start. Sequence: power fails while a large document is written.
-    // Cause: each byte behind the torn record was tried as the length of another one, and the rest of the log hashed for it;
-    // this test took hours then.
+    // Guards against a controller that takes minutes to start after power has failed during the write of a large document. The
+    // cause was that each byte after the torn record was tried as the length of another one, and the rest of the log hashed for
+    // it; this test took hours then.
     Folder folder;
     {
         LogStorage storage;
@@ -210,7 +210,7 @@
         writeEach(storage, 1, 3);
         std::string text(8u << 20, '\0');
         for (std::size_t i = 2; i < text.size(); i += 4)
-            text[i] = 2; // Read as a length anywhere, this is some hundred kilobytes.
+            text[i] = 2; // Read as a length at any offset, this is some hundred kilobytes.
         raft::Persist persist;
         persist.entries = { { 1, 4, DocumentCommand { 1, text } } };
         storage.append(persist);
--- a/test/failure/SnapshotTest.cpp
+++ b/test/failure/SnapshotTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * A snapshot that can't be read, as another release may send one.
+ * A snapshot that can't be decoded, as a leader of another release may send it.
  */
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "version/ControllerLogic.h"
@@ -8,10 +8,10 @@
 
 using namespace wrenhinge;
 
-TEST_CASE("a snapshot that can't be read replaces nothing")
+TEST_CASE("a snapshot that can't be decoded replaces nothing")
 {
-    // Symptom: a controller ends, "a snapshot that passed its checksum can't be read", whenever it is sent one. Sequence: a leader of
-    // another release sends its snapshot to a follower. Cause: the follower has dropped its log for the bytes before it reads them.
+    // Guards against a controller that exits with "a snapshot with a valid checksum can't be decoded" whenever it receives a snapshot: the
+    // leader runs another release, and the follower replaces its log by the snapshot before it has decoded it.
     Instant now { 1h };
     raft::Settings settings;
     settings.self = "a";
