--- a/src/version/RaftSnapshot.cpp
+++ b/src/version/RaftSnapshot.cpp
@@ -48,7 +48,7 @@
         // such a snapshot, the controller exited each time it received one. Without a reply the leader resends the chunk after its
         // timeout.
         m_incoming = {};
-        m_effects.push_back(Note { EventCode::SnapshotRefused, {},
+        m_effects.push_back(LogEvent { EventCode::SnapshotRefused, {},
             from + " sent a snapshot that can't be decoded, up to index " + std::to_string(chunk.lastIndex) });
         return;
     }
@@ -64,7 +64,7 @@
         m_commit = m_applied = m_snapshot.lastIndex;
         m_effects.push_back(raft::SaveSnapshot { m_snapshot });
         m_effects.push_back(raft::Restore { m_snapshot });
-        m_effects.push_back(Note { EventCode::SnapshotInstalled, {}, "up to index " + std::to_string(m_snapshot.lastIndex) });
+        m_effects.push_back(LogEvent { EventCode::SnapshotInstalled, {}, "up to index " + std::to_string(m_snapshot.lastIndex) });
     }
     m_effects.push_back(raft::Send { from, SnapshotReply { m_hard.term, chunk.lastIndex, received, m_settings.disk } });
 }
@@ -106,7 +106,7 @@
     }
     Effects effects;
     effects.push_back(raft::SaveSnapshot { m_snapshot });
-    effects.push_back(Note { EventCode::SnapshotTaken, {}, "up to index " + std::to_string(m_applied) });
+    effects.push_back(LogEvent { EventCode::SnapshotTaken, {}, "up to index " + std::to_string(m_applied) });
     return effects;
 }
 
--- a/test/correctness/DocumentTest.cpp
+++ b/test/correctness/DocumentTest.cpp
@@ -61,7 +61,7 @@
     void offer(std::size_t i, bool isCurrent = true)
     {
         for (const auto& [to, offer] : m_controllers[i].source.offers(m_controllers[i].history, isCurrent, now))
-            step(document::FromPeer { peerOf(i), offer });
+            step(document::PeerMessage { peerOf(i), offer });
     }
     /// Answers requests until none is left. \returns the number of parts sent.
     int answerAll()
@@ -81,7 +81,7 @@
             if (!part)
                 continue;
             bytes += part->bytes.size();
-            step(document::FromPeer { ask.to, std::move(*part) });
+            step(document::PeerMessage { ask.to, std::move(*part) });
             return true;
         }
         return false;
@@ -290,13 +290,13 @@
         }
     };
     for (std::size_t i = 0; i < controllers; ++i)
-        step(document::FromPeer { Bench::peerOf(i), DocumentOffer { 1, true } });
+        step(document::PeerMessage { Bench::peerOf(i), DocumentOffer { 1, true } });
     while (!isInstalled && now < start + 60s) {
         if (!inTransit.empty() && inTransit.front().at <= follower.nextWake()) {
             auto answer = std::move(inTransit.front());
             inTransit.pop_front();
             now = answer.at;
-            step(document::FromPeer { answer.from, std::move(answer.part) });
+            step(document::PeerMessage { answer.from, std::move(answer.part) });
         } else {
             now = follower.nextWake();
             step(document::Tick {});
@@ -369,7 +369,7 @@
     std::vector<DocumentStep> steps { { 1, 2, changeBetween(randomText(9, 9), textOf(9)) } };
     steps.front().change.checksum = 1;
     auto bytes = encodeValue(steps);
-    bench.step(document::FromPeer { Bench::peerOf(0), DocumentPart { 2, 1, 0, bytes.size(), bytes } });
+    bench.step(document::PeerMessage { Bench::peerOf(0), DocumentPart { 2, 1, 0, bytes.size(), bytes } });
     CHECK(bench.notes == 1);
     bench.answerAll();
     CHECK(*bench.installed.back().text == textOf(2));
