--- a/src/process/ControllerRole.cpp
+++ b/src/process/ControllerRole.cpp
@@ -222,7 +222,7 @@
             m_hub.dial(address);
         return;
     }
-    post(controller::FromPeer { peer, std::move(message) });
+    post(controller::PeerMessage { peer, std::move(message) });
 }
 
 // --- The loop ---------------------------------------------------------------------------------------------------
@@ -332,7 +332,7 @@
     for (auto& effect : effects) {
         if (auto* send = std::get_if<controller::Send>(&effect)) {
             m_hub.send(send->to, send->message);
-        } else if (auto* note = std::get_if<Note>(&effect)) {
+        } else if (auto* note = std::get_if<LogEvent>(&effect)) {
             m_runtime.log().write(*note);
         } else if (auto* local = std::get_if<controller::LocalReply>(&effect)) {
             answer(local->ticket, std::move(local->reply));
--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -197,14 +197,14 @@
         if (const auto* roster = std::get_if<ControllerRoster>(&message)) {
             for (const auto& address : roster->addresses)
                 m_hub.dial(address);
-        } else if (const auto* announced = std::get_if<Announced>(&message)) {
+        } else if (const auto* announced = std::get_if<RelayedAnnouncement>(&message)) {
             post(*announced);
-        } else if (const auto* withdrawn = std::get_if<Withdrawn>(&message)) {
+        } else if (const auto* withdrawn = std::get_if<ReplicaWithdrawn>(&message)) {
             post(*withdrawn);
-        } else if (const auto* room = std::get_if<EngineRoom>(&message)) {
-            post(forward::RoomTold { room->address, { peer, room->tokens, room->prefillBacklog } });
+        } else if (const auto* headroom = std::get_if<EngineHeadroom>(&message)) {
+            post(forward::RoomTold { headroom->address, { peer, headroom->tokens, headroom->prefillBacklog } });
         } else if (const auto* reply = std::get_if<ReservationReply>(&message)) {
-            post(forward::ReservationAnswered { reply->request, reply->attempt, reply->isGranted, reply->room });
+            post(forward::ReservationAnswered { reply->request, reply->attempt, reply->isGranted, reply->headroom });
         } else if (auto* heartbeat = std::get_if<RegistryHeartbeat>(&message)) {
             post(forward::RegistryTold { peer, std::move(*heartbeat) });
         } else if (auto* list = std::get_if<RegistryList>(&message)) {
@@ -216,7 +216,7 @@
         } else if (auto* totals = std::get_if<QuotaTotals>(&message)) {
             post(forward::QuotaTold { peer, std::move(*totals) });
         } else if (std::holds_alternative<DocumentOffer>(message) || std::holds_alternative<DocumentPart>(message)) {
-            m_documents.post(document::FromPeer { peer, std::move(message) });
+            m_documents.post(document::PeerMessage { peer, std::move(message) });
         }
     }
 
@@ -228,7 +228,7 @@
             onDocument(*take);
         else if (auto* confirm = std::get_if<document::Confirm>(&effect))
             post(forward::ConfirmDocument { confirm->version });
-        else if (auto* note = std::get_if<Note>(&effect))
+        else if (auto* note = std::get_if<LogEvent>(&effect))
             m_runtime.log().write(*note);
     }
 
@@ -465,7 +465,7 @@
         m_callers.setLimits(limits);
     }
 
-    void carry(Note& note)
+    void carry(LogEvent& note)
     {
         if (auto* exchange = find(note.request))
             note.text += " (" + exchange->callerId + ")";
--- a/src/process/GatewayRole.h
+++ b/src/process/GatewayRole.h
@@ -33,7 +33,7 @@
     void carryOut(gateway::AnswerBroken&);
     void carryOut(gateway::Finished&);
     void carryOut(gateway::Drained&);
-    void carryOut(Note&);
+    void carryOut(LogEvent&);
     [[nodiscard]] bool isReady() const;
     void leave();
     AdminReply admin(const AdminRequest&);
--- a/src/process/Registrar.cpp
+++ b/src/process/Registrar.cpp
@@ -8,7 +8,7 @@
 
 bool isForRegistrar(const Message& message)
 {
-    return std::holds_alternative<Announced>(message) || std::holds_alternative<Withdrawn>(message)
+    return std::holds_alternative<RelayedAnnouncement>(message) || std::holds_alternative<ReplicaWithdrawn>(message)
         || std::holds_alternative<RegistryHeartbeat>(message) || std::holds_alternative<StageChange>(message)
         || std::holds_alternative<RegistryRequest>(message) || std::holds_alternative<RegistryList>(message);
 }
@@ -57,9 +57,9 @@
 void Registrar::receive(PeerId peer, const Message& message)
 {
     boost::asio::post(m_strand, [this, peer, message] {
-        if (const auto* announced = std::get_if<Announced>(&message)) {
+        if (const auto* announced = std::get_if<RelayedAnnouncement>(&message)) {
             take(announced->announcement, announced->age);
-        } else if (const auto* withdrawn = std::get_if<Withdrawn>(&message)) {
+        } else if (const auto* withdrawn = std::get_if<ReplicaWithdrawn>(&message)) {
             takeWithdrawal(withdrawn->run());
         } else if (const auto* change = std::get_if<StageChange>(&message)) {
             changeStage(*change);
@@ -112,7 +112,7 @@
 {
     if (!note(announcement, age))
         return;
-    tellAll(Announced { announcement, age });
+    tellAll(RelayedAnnouncement { announcement, age });
     noteChange();
 }
 
@@ -137,7 +137,7 @@
     if (!m_registry.withdraw(run, currentInstant()))
         return;
     m_log.write({ EventCode::UpstreamDraining, {}, toString(run) + " has ended" });
-    tellAll(Withdrawn { run.id, run.start });
+    tellAll(ReplicaWithdrawn { run.id, run.start });
     if (!m_registry.entries().contains(run.id))
         m_changes.erase(run.id);
     noteChange();
--- a/src/process/SidecarRole.cpp
+++ b/src/process/SidecarRole.cpp
@@ -34,7 +34,7 @@
           { [this](const Hello& peer) { m_driver.post(sidecar::PeerUp { peer }); },
               [this](PeerId peer) { m_driver.post(sidecar::PeerDown { peer }); },
               [this](PeerId peer, Message&& message) {
-                  m_driver.post(sidecar::FromPeer { peer, std::move(message) });
+                  m_driver.post(sidecar::PeerMessage { peer, std::move(message) });
               },
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
               runtime.refusals().ofLinks() })
--- a/src/request/engine/EngineLoad.cpp
+++ b/src/request/engine/EngineLoad.cpp
@@ -15,7 +15,7 @@
     service.tokens += tokens;
 }
 
-void EngineLoad::noteRead(const std::string& name, std::uint32_t promptTokens, Duration took)
+void EngineLoad::recordPrefill(const std::string& name, std::uint32_t promptTokens, Duration took)
 {
     auto& service = m_services[name];
     auto sample = toSeconds(took) / std::max(1u, promptTokens);
@@ -23,7 +23,7 @@
     service.secondsPerToken = isFirst ? sample : std::min(sample, service.secondsPerToken * (1 + forgetFastest));
 }
 
-void EngineLoad::leave(const std::string& name, Instant admittedAt, bool isServed, Instant now)
+void EngineLoad::finish(const std::string& name, Instant admittedAt, bool isServed, Instant now)
 {
     auto& service = m_services.at(name);
     --service.running;
--- a/src/request/fleet/AccountQuota.cpp
+++ b/src/request/fleet/AccountQuota.cpp
@@ -138,7 +138,7 @@
     fill(now);
     // What the others were taken to use since the last telling has left the bucket already, but while this gateway was alone.
     auto forecast = m_isBusy ? m_othersPerSecond * toSeconds(std::min(now - m_toldAt, totalsLate)) : 0;
-    m_level += forecast - total.othersUse;
+    m_level += forecast - total.othersUsage;
     m_othersPerSecond = total.othersPerSecond;
     m_reservedPerSecond = total.reservedPerSecond;
     m_isBusy = total.isBusy;
--- a/src/request/fleet/AccountQuotas.cpp
+++ b/src/request/fleet/AccountQuotas.cpp
@@ -71,7 +71,7 @@
         return;
     m_told = totals.gateways;
     m_toldAt = now;
-    if (totals.isAll) {
+    if (totals.isComplete) {
         m_knowsBusy = true;
         std::set<AccountId> told;
         for (const auto& total : totals.totals)
@@ -125,9 +125,9 @@
 }
 
 /// For controllers that have just started: they miss those that were counted before and don't come.
-GatewaysSeen AccountQuotas::gatewaysSeen(Instant now) const
+GatewayCounts AccountQuotas::gatewaysSeen(Instant now) const
 {
-    auto seen = now - m_toldAt <= toldLasts ? m_told : GatewaysSeen();
+    auto seen = now - m_toldAt <= toldLasts ? m_told : GatewayCounts();
     if (m_gateways != SharedRetryBudget::gatewaysUnknown)
         seen.all = std::max(seen.all, m_gateways);
     return seen;
--- a/src/request/fleet/AccountQuotas.h
+++ b/src/request/fleet/AccountQuotas.h
@@ -46,10 +46,10 @@
 
     /// What to tell all controllers.
     struct Report {
-        std::vector<AccountUse> uses;
+        std::vector<AccountUsage> uses;
         std::optional<PeerId> teller; ///< The controller by whose totals this gateway goes.
         bool asksForAll = false;
-        GatewaysSeen told;
+        GatewayCounts told;
     };
     /// \returns nothing before `nextReport`.
     std::optional<Report> report(Instant now);
@@ -62,7 +62,7 @@
 private:
     AccountQuota* find(const std::string& account, Instant now);
     void chooseTeller(Instant now);
-    [[nodiscard]] GatewaysSeen gatewaysSeen(Instant now) const;
+    [[nodiscard]] GatewayCounts gatewaysSeen(Instant now) const;
     void keepUnreported(Instant now);
 
     QuotaSettings m_settings;
@@ -75,7 +75,7 @@
     std::map<PeerId, Instant> m_heardAt; ///< Controllers.
     std::optional<PeerId> m_teller;
     bool m_knowsBusy = false; ///< A controller has told of all busy accounts since this gateway hears of them.
-    GatewaysSeen m_told; ///< By the teller, at `m_toldAt`.
+    GatewayCounts m_told; ///< By the teller, at `m_toldAt`.
     Instant m_toldAt;
     std::optional<PeerId> m_formerTeller; ///< It has fallen silent on a busy account, and is no choice while there is another.
     Instant m_reportAt = Instant::max();
--- a/src/request/fleet/InheritedReserve.cpp
+++ b/src/request/fleet/InheritedReserve.cpp
@@ -10,8 +10,8 @@
         m_since = now;
     if (now - *m_since > learnFor)
         return;
-    m_told.all = std::max(m_told.all, report.told.all);
-    m_told.unheard = std::max(m_told.unheard, report.told.unheard);
+    m_told.all = std::max(m_told.all, report.knownGateways.all);
+    m_told.notReporting = std::max(m_told.notReporting, report.knownGateways.notReporting);
     for (const auto& use : report.uses) {
         auto& perSecond = m_perSecond[use.account];
         perSecond = std::max(perSecond, use.reservedPerSecond);
@@ -25,9 +25,9 @@
     auto missing = m_told.all - gateways;
     auto alike = now - *m_since > missingAfter ? limit * missing / m_told.all : 0;
     auto it = m_perSecond.find(account);
-    if (it == m_perSecond.end() || m_told.unheard == 0)
+    if (it == m_perSecond.end() || m_told.notReporting == 0)
         return alike;
-    return std::max(alike, it->second * std::min(missing, m_told.unheard) / m_told.unheard);
+    return std::max(alike, it->second * std::min(missing, m_told.notReporting) / m_told.notReporting);
 }
 
 } // namespace wrenhinge
--- a/src/request/fleet/InheritedReserve.h
+++ b/src/request/fleet/InheritedReserve.h
@@ -35,7 +35,7 @@
 
     Duration m_keptFor;
     std::optional<Instant> m_since; ///< The first report.
-    GatewaysSeen m_told;
+    GatewayCounts m_told;
     std::unordered_map<AccountId, double> m_perSecond;
 };
 
--- a/src/request/fleet/QuotaExchange.cpp
+++ b/src/request/fleet/QuotaExchange.cpp
@@ -48,7 +48,7 @@
     return static_cast<std::uint32_t>(m_gateways.size()) + static_cast<std::uint32_t>(unlinked);
 }
 
-GatewaysSeen QuotaExchange::gatewaysSeen() const { return { gateways(), static_cast<std::uint32_t>(m_lost.size()) }; }
+GatewayCounts QuotaExchange::gatewaysSeen() const { return { gateways(), static_cast<std::uint32_t>(m_lost.size()) }; }
 
 void QuotaExchange::take(PeerId from, const QuotaReport& report, Instant now)
 {
@@ -128,7 +128,7 @@
     for (auto& [peer, gateway] : m_gateways) {
         if (!gateway.wantsTotals)
             continue;
-        if (auto totals = totalsFor(gateway, now); totals.isAll || !totals.totals.empty())
+        if (auto totals = totalsFor(gateway, now); totals.isComplete || !totals.totals.empty())
             all.emplace_back(peer, std::move(totals));
     }
     return all;
--- a/src/request/fleet/QuotaExchange.h
+++ b/src/request/fleet/QuotaExchange.h
@@ -98,7 +98,7 @@
     void setMark(Instant now);
     [[nodiscard]] double reserved(AccountId, const Account&, Instant now) const;
     [[nodiscard]] std::uint32_t gateways() const;
-    [[nodiscard]] GatewaysSeen gatewaysSeen() const;
+    [[nodiscard]] GatewayCounts gatewaysSeen() const;
     void noteBusy(Instant now);
     [[nodiscard]] bool knowsBusy(Instant now) const;
     [[nodiscard]] QuotaTotals totalsFor(Gateway&, Instant now);
--- a/src/request/fleet/ReplicaRegistry.cpp
+++ b/src/request/fleet/ReplicaRegistry.cpp
@@ -107,11 +107,11 @@
                 entry.heardAt = std::max(entry.heardAt, now - usualAge);
         }
     }
-    auto distance = heartbeat.startedAfter.begin();
+    auto distance = heartbeat.startOffsets.begin();
     for (const auto& [id, age] : heartbeat.ages) {
         // A process of a release without starts names none, and knows none either.
-        auto after = distance == heartbeat.startedAfter.end() ? 0 : *distance++;
-        renew({ id, ReplicaStart(heartbeat.earliest.value() + after) }, age, now);
+        auto after = distance == heartbeat.startOffsets.end() ? 0 : *distance++;
+        renew({ id, ReplicaStart(heartbeat.earliestStart.value() + after) }, age, now);
     }
 }
 
@@ -124,13 +124,13 @@
     auto first = std::min_element(m_entries.begin(), m_entries.end(), isEarlier);
     if (first == m_entries.end())
         return heartbeat;
-    heartbeat.earliest = first->second.announcement.start;
+    heartbeat.earliestStart = first->second.announcement.start;
     for (const auto& [id, entry] : m_entries) {
         bool isRenewed = now - entry.heardAt <= freshFor;
         if (names == Names::Unrenewed && isRenewed)
             continue;
         heartbeat.ages[id] = now - entry.heardAt;
-        heartbeat.startedAfter.push_back(entry.announcement.start.value() - heartbeat.earliest.value());
+        heartbeat.startOffsets.push_back(entry.announcement.start.value() - heartbeat.earliestStart.value());
     }
     return heartbeat;
 }
--- a/src/request/forward/ForwardAnswers.cpp
+++ b/src/request/forward/ForwardAnswers.cpp
@@ -67,7 +67,7 @@
         if (!flow.hasBegun) {
             flow.hasBegun = true;
             flow.untilFirst = now - flow.arrivedAt;
-            m_effects.push_back(Note {
+            m_effects.push_back(LogEvent {
                 EventCode::FirstByte, flow.id, toString(flow.replica) + " after " + std::to_string((now - flow.sentAt) / 1ms) + " ms" });
             m_effects.push_back(BeginStream { flow.id, flow.facts.status, flow.headers });
         } else {
@@ -117,7 +117,7 @@
         return;
     if (!isFailure)
         noteServed(*flow, now);
-    m_effects.push_back(Note { EventCode::RequestFinished, flow->id,
+    m_effects.push_back(LogEvent { EventCode::RequestFinished, flow->id,
         std::to_string(facts.status) + " after " + std::to_string((now - flow->arrivedAt) / 1ms) + " ms" });
     m_effects.push_back(Reply { flow->id, facts.status, std::move(flow->headers), std::move(flow->body) });
     flow->untilFirst = now - flow->arrivedAt;
@@ -133,7 +133,7 @@
         return resendOrFail(flow, true, "the stream ended inside an event", now);
     }
     noteServed(flow, now);
-    m_effects.push_back(Note { EventCode::RequestFinished, flow.id,
+    m_effects.push_back(LogEvent { EventCode::RequestFinished, flow.id,
         "stream after " + std::to_string((now - flow.arrivedAt) / 1ms) + " ms, longest pause " + std::to_string(flow.longestPause / 1ms)
             + " ms" });
     m_effects.push_back(EndStream { flow.id });
@@ -203,11 +203,11 @@
     if (flow.endsAt <= now)
         return giveUp(flow, now);
     if (resend(flow, now)) {
-        m_effects.push_back(Note { EventCode::RequestRetried, flow.id, why });
+        m_effects.push_back(LogEvent { EventCode::RequestRetried, flow.id, why });
         return;
     }
     if (flow.hasBegun) {
-        m_effects.push_back(Note { EventCode::RequestFailed, flow.id, why + " at " + toString(flow.replica) });
+        m_effects.push_back(LogEvent { EventCode::RequestFailed, flow.id, why + " at " + toString(flow.replica) });
         m_effects.push_back(BreakStream { flow.id });
         return finish(flow, ResultCode::UpstreamFailed, now);
     }
@@ -236,7 +236,7 @@
     auto text = std::string(nameOf(code)) + ": " + why;
     if (hasFailed)
         text += " at " + toString(flow.replica);
-    m_effects.push_back(Note { hasFailed ? EventCode::RequestFailed : EventCode::RequestRefused, flow.id, std::move(text) });
+    m_effects.push_back(LogEvent { hasFailed ? EventCode::RequestFailed : EventCode::RequestRefused, flow.id, std::move(text) });
     m_effects.push_back(Refuse { flow.id, std::move(error) });
     finish(flow, code, now);
 }
@@ -249,7 +249,7 @@
         endCall(flow, flow.hasHead ? CallOutcome::Abandoned : CallOutcome::Failed, now);
     }
     if (flow.hasBegun) {
-        m_effects.push_back(Note { EventCode::RequestFailed, flow.id, "the stream did not end in time" });
+        m_effects.push_back(LogEvent { EventCode::RequestFailed, flow.id, "the stream did not end in time" });
         m_effects.push_back(BreakStream { flow.id });
         return finish(flow, ResultCode::TimedOut, now);
     }
@@ -266,7 +266,7 @@
         return;
     auto& flow = it->second;
     m_effects.push_back(
-        Note { EventCode::RequestCancelled, flow.id, "the caller left after " + std::to_string((now - flow.arrivedAt) / 1ms) + " ms" });
+        LogEvent { EventCode::RequestCancelled, flow.id, "the caller left after " + std::to_string((now - flow.arrivedAt) / 1ms) + " ms" });
     abandonCall(flow, now);
     finish(flow, ResultCode::Cancelled, now);
 }
@@ -274,7 +274,7 @@
 void ForwardLogic::finish(Flow& flow, ResultCode code, Instant now)
 {
     if (flow.admittedAt)
-        m_engineLoad.leave(flow.service, *flow.admittedAt, code == ResultCode::Ok, now);
+        m_engineLoad.finish(flow.service, *flow.admittedAt, code == ResultCode::Ok, now);
     m_effects.push_back(Finished { flow.route ? flow.route->name : "", code, flow.sends, flow.untilFirst, flow.waitedForPlace });
     giveBackCharge(flow, code, now);
     dropSource(flow);
--- a/src/request/forward/ForwardCrashes.cpp
+++ b/src/request/forward/ForwardCrashes.cpp
@@ -43,7 +43,7 @@
 {
     if (m_crashes.standing(fingerprint, now) != CrashTracker::Standing::Refused || !m_newlyRefused.insert(fingerprint).second)
         return;
-    m_effects.push_back(Note { EventCode::RequestCrashesReplicas, {}, m_crashes.text(fingerprint) });
+    m_effects.push_back(LogEvent { EventCode::RequestCrashesReplicas, {}, m_crashes.text(fingerprint) });
 }
 
 /// A request that waits here while others like it have crashed replicas would crash one more.
--- a/src/request/forward/ForwardEffects.h
+++ b/src/request/forward/ForwardEffects.h
@@ -161,6 +161,6 @@
 };
 using Effect = std::variant<Send, CancelCall, TakePlace, Reserve, EndReservation, NotePrefill, DropPlace, FreePrompt, Reply, Refuse,
     BeginStream, StreamBytes, EndStream, BreakStream, Finished, ForgetReplica, SetLimits, LinkSidecar, LeaveSidecar, AskRegistry,
-    ReportLoad, TellCrashes, ReportUse, Note>;
+    ReportLoad, TellCrashes, ReportUse, LogEvent>;
 
 } // namespace wrenhinge::forward
--- a/src/request/forward/ForwardEvents.h
+++ b/src/request/forward/ForwardEvents.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "message/Messages.h"
-#include "request/engine/EngineRooms.h"
+#include "request/engine/EngineHeadroomTable.h"
 #include "request/forward/EventSplitter.h"
 #include "version/RoutingDocument.h"
 
@@ -89,7 +89,7 @@
 /// A sidecar tells how much room its engine's memory has.
 struct RoomTold {
     std::string address; ///< The engine's.
-    EngineRooms::Room room;
+    EngineHeadroomTable::Headroom room;
 };
 /// A link has ended.
 struct PeerGone {
@@ -145,12 +145,12 @@
     Instant endsAt;
 };
 struct Tick { };
-using wrenhinge::Announced;
 using wrenhinge::RegistryHeartbeat;
+using wrenhinge::RelayedAnnouncement;
+using wrenhinge::ReplicaWithdrawn;
 using wrenhinge::StageChange;
-using wrenhinge::Withdrawn;
 using Event = std::variant<Submit, CallerGone, AnswerHead, AnswerBody, AnswerEnd, CallFailed, PlaceTaken, PlaceRefused, ReservationAnswered,
-    RoomTold, PeerGone, RegistryTold, RegistryListed, PromptRead, PromptNotRead, TakeDocument, ConfirmDocument, Announced, Withdrawn,
-    RegistryHeartbeat, StageChange, ControllerUp, CrashesTold, QuotaTold, Stop, Tick>;
+    RoomTold, PeerGone, RegistryTold, RegistryListed, PromptRead, PromptNotRead, TakeDocument, ConfirmDocument, RelayedAnnouncement,
+    ReplicaWithdrawn, RegistryHeartbeat, StageChange, ControllerUp, CrashesTold, QuotaTold, Stop, Tick>;
 
 } // namespace wrenhinge::forward
--- a/src/request/forward/ForwardLogic.cpp
+++ b/src/request/forward/ForwardLogic.cpp
@@ -81,7 +81,7 @@
         m_table = std::make_shared<const RouteTable>(event.document);
         m_effects.push_back(SetLimits { event.document.limits });
         takeQuotaRules(now);
-        m_effects.push_back(Note { EventCode::DocumentInForce, {}, "version " + std::to_string(documentVersion()) });
+        m_effects.push_back(LogEvent { EventCode::DocumentInForce, {}, "version " + std::to_string(documentVersion()) });
     }
     refuseRevoked(now);
     if (event.isCurrent)
@@ -94,7 +94,7 @@
     beginHeld(now);
 }
 
-void ForwardLogic::on(const Announced& event, Instant now)
+void ForwardLogic::on(const RelayedAnnouncement& event, Instant now)
 {
     const auto& [announcement, age] = event;
     bool isEngine = announcement.kind != UpstreamKind::Plain;
@@ -104,14 +104,14 @@
 }
 
 /// \returns whether it was news.
-bool ForwardLogic::take(const Announced& event, Instant now)
+bool ForwardLogic::take(const RelayedAnnouncement& event, Instant now)
 {
     const auto& announcement = event.announcement;
     m_replicas.heardController(now);
     auto former = m_replicas.registry().newestRun(announcement.id);
     auto change = m_replicas.registry().announce(announcement, event.age, now);
     if (change == ReplicaRegistry::Change::Restarted) {
-        m_effects.push_back(Note { EventCode::UpstreamRestarted, {}, toString(announcement.run()) + " after " + toString(*former) });
+        m_effects.push_back(LogEvent { EventCode::UpstreamRestarted, {}, toString(announcement.run()) + " after " + toString(*former) });
         m_effects.push_back(ForgetReplica { *former });
         giveUpFormerRuns(announcement.run(), now);
         m_replicas.forgetEnded();
@@ -119,24 +119,24 @@
         return false;
     }
     bool isDraining = announcement.state == ReplicaState::Draining;
-    m_effects.push_back(Note { isDraining ? EventCode::UpstreamDraining : EventCode::UpstreamAnnounced, {},
+    m_effects.push_back(LogEvent { isDraining ? EventCode::UpstreamDraining : EventCode::UpstreamAnnounced, {},
         announcement.id + " of " + announcement.service + " at " + announcement.address });
     return true;
 }
 
-void ForwardLogic::on(const Withdrawn& event, Instant now)
+void ForwardLogic::on(const ReplicaWithdrawn& event, Instant now)
 {
     if (take(event, now))
         chooseEngines(now);
 }
 
 /// \returns whether it was news.
-bool ForwardLogic::take(const Withdrawn& event, Instant now)
+bool ForwardLogic::take(const ReplicaWithdrawn& event, Instant now)
 {
     if (!m_replicas.registry().withdraw(event.run(), now))
         return false;
     m_effects.push_back(ForgetReplica { event.run() });
-    m_effects.push_back(Note { EventCode::UpstreamDraining, {}, toString(event.run()) + " has ended" });
+    m_effects.push_back(LogEvent { EventCode::UpstreamDraining, {}, toString(event.run()) + " has ended" });
     return true;
 }
 
@@ -155,7 +155,8 @@
 void ForwardLogic::on(const StageChange& event, Instant now)
 {
     if (m_replicas.registry().changeStage(event, now))
-        m_effects.push_back(Note { EventCode::StageChanging, {}, event.id + " for " + std::to_string(event.lasts / 1ms) + " ms at most" });
+        m_effects.push_back(
+            LogEvent { EventCode::StageChanging, {}, event.id + " for " + std::to_string(event.lasts / 1ms) + " ms at most" });
 }
 
 // --- Replicas that start again ----------------------------------------------------------------------------------
@@ -201,7 +202,7 @@
     if (flow.stage == Flow::Stage::Running)
         return;
     m_effects.push_back(CancelCall { flow.id, flow.attempt });
-    m_effects.push_back(Note { EventCode::RequestRetried, flow.id, toString(flow.replica) + " has started again" });
+    m_effects.push_back(LogEvent { EventCode::RequestRetried, flow.id, toString(flow.replica) + " has started again" });
     endCall(flow, CallOutcome::Abandoned, now);
     if (flow.stage == Flow::Stage::TakingPlace) {
         endReservation(flow, false);
@@ -266,7 +267,7 @@
     flow.service = pickService(*flow.route);
     flow.lastEvent = ask.resumeAfter;
     m_budget.countRequest(flow.service, now);
-    m_effects.push_back(Note { EventCode::RequestReceived, flow.id,
+    m_effects.push_back(LogEvent { EventCode::RequestReceived, flow.id,
         flow.route->name + " document " + std::to_string(m_table->version()) + " tokens " + std::to_string(ask.promptTokens) + "+"
             + std::to_string(ask.outputTokens) + " expected " + std::to_string(expectedTokensOf(flow)) + " left "
             + std::to_string((flow.endsAt - now) / 1ms) + " ms fingerprint " + toString(ask.fingerprint)
@@ -446,7 +447,7 @@
         + " tokens " + std::to_string(load.tokens);
     if (flow.stage == Flow::Stage::Running && flow.placesAsked)
         text += " places asked " + std::to_string(flow.placesAsked);
-    m_effects.push_back(Note { code, flow.id, std::move(text) });
+    m_effects.push_back(LogEvent { code, flow.id, std::move(text) });
 }
 
 // --- The end of this process ------------------------------------------------------------------------------------
@@ -556,7 +557,7 @@
     m_effects.push_back(CancelCall { flow.id, flow.attempt });
     endCall(flow, CallOutcome::Failed, now);
     ++flow.runs;
-    m_effects.push_back(Note { EventCode::RequestRetried, flow.id, "no answer from " + toString(flow.replica) + " yet" });
+    m_effects.push_back(LogEvent { EventCode::RequestRetried, flow.id, "no answer from " + toString(flow.replica) + " yet" });
     if (!send(flow, now))
         internalError("a replica that was there a moment ago is gone");
 }
--- a/src/request/forward/ForwardLogic.h
+++ b/src/request/forward/ForwardLogic.h
@@ -103,8 +103,8 @@
     void on(const forward::PromptNotRead&, Instant);
     void on(const forward::TakeDocument&, Instant);
     void on(const forward::ConfirmDocument&, Instant);
-    void on(const Announced&, Instant);
-    void on(const Withdrawn&, Instant);
+    void on(const RelayedAnnouncement&, Instant);
+    void on(const ReplicaWithdrawn&, Instant);
     void on(const RegistryHeartbeat&, Instant);
     void on(const StageChange&, Instant);
     void on(const forward::ControllerUp&, Instant);
@@ -114,8 +114,8 @@
     void on(const forward::Tick&, Instant);
 
     // Which engines are used, and the links to their sidecars (ForwardEngines.cpp).
-    bool take(const Announced&, Instant);
-    bool take(const Withdrawn&, Instant);
+    bool take(const RelayedAnnouncement&, Instant);
+    bool take(const ReplicaWithdrawn&, Instant);
     void askForRegistry(Instant);
     void chooseEngines(Instant);
     void chooseEnginesIfDue(Instant);
--- a/src/request/forward/ForwardPlaces.cpp
+++ b/src/request/forward/ForwardPlaces.cpp
@@ -97,7 +97,7 @@
 
 void ForwardLogic::on(const RoomTold& event, Instant)
 {
-    bool isMore = m_replicas.rooms().tell(event.address, event.room);
+    bool isMore = m_replicas.rooms().update(event.address, event.room);
     m_mayAdmit = m_mayAdmit || (isMore && m_queue.size());
 }
 
@@ -224,8 +224,8 @@
     if (!flow)
         return;
     endCall(*flow, CallOutcome::Served, now);
-    m_engineLoad.noteRead(flow->service, flow->ask.promptTokens, now - flow->sentAt);
-    m_effects.push_back(Note {
+    m_engineLoad.recordPrefill(flow->service, flow->ask.promptTokens, now - flow->sentAt);
+    m_effects.push_back(LogEvent {
         EventCode::PrefillFinished, flow->id, toString(flow->replica) + " after " + std::to_string((now - flow->sentAt) / 1ms) + " ms" });
     flow->reader = flow->replica;
     flow->readerAddress = flow->replicaAddress;
--- a/src/request/forward/ReplicaTable.cpp
+++ b/src/request/forward/ReplicaTable.cpp
@@ -26,7 +26,8 @@
 
 } // namespace
 
-double ReplicaTable::costOf(const ReplicaRegistry::Entry& entry, const Load& load, const EngineRooms::Room* room, const Need& need) const
+double ReplicaTable::costOf(
+    const ReplicaRegistry::Entry& entry, const Load& load, const EngineHeadroomTable::Headroom* room, const Need& need) const
 {
     const auto& announcement = entry.announcement;
     double cost = 0;
--- a/src/request/forward/ReplicaTable.h
+++ b/src/request/forward/ReplicaTable.h
@@ -11,7 +11,7 @@
  */
 #pragma once
 
-#include "request/engine/EngineRooms.h"
+#include "request/engine/EngineHeadroomTable.h"
 #include "request/engine/EngineSubset.h"
 #include "request/fleet/ReplicaRegistry.h"
 
@@ -93,7 +93,7 @@
     void noteFull(const ReplicaRun&, Instant until);
     void noteRoom(const ReplicaRun& run) { noteFull(run, {}); }
     /// What the sidecars of engines tell of their memory.
-    EngineRooms& rooms() { return m_rooms; }
+    EngineHeadroomTable& rooms() { return m_rooms; }
     /// Whether this very run takes work.
     [[nodiscard]] bool isReady(const ReplicaRun&) const;
     /// Drops what is known of runs that have ended, but for those with calls in progress.
@@ -105,14 +105,14 @@
 
 private:
     [[nodiscard]] static bool serves(const Announcement&, const std::string& service, UpstreamKind);
-    [[nodiscard]] double costOf(const ReplicaRegistry::Entry&, const Load&, const EngineRooms::Room*, const Need&) const;
+    [[nodiscard]] double costOf(const ReplicaRegistry::Entry&, const Load&, const EngineHeadroomTable::Headroom*, const Need&) const;
     [[nodiscard]] bool isDoubtful(const ReplicaRegistry::Entry&, const Load&, Instant now) const;
 
     std::string m_zone;
     std::mt19937_64 m_random;
     ReplicaRegistry m_registry;
     std::map<ReplicaRun, Load> m_loads;
-    EngineRooms m_rooms;
+    EngineHeadroomTable m_rooms;
     EngineSubset m_subset;
     Instant m_controllerHeardAt;
 };
--- a/src/request/sidecar/GatewayContext.cpp
+++ b/src/request/sidecar/GatewayContext.cpp
@@ -56,7 +56,10 @@
         send(to, std::move(message));
 }
 
-void GatewayContext::note(EventCode code, const RequestId& id, std::string text) { effects.push_back(Note { code, id, std::move(text) }); }
+void GatewayContext::note(EventCode code, const RequestId& id, std::string text)
+{
+    effects.push_back(LogEvent { code, id, std::move(text) });
+}
 
 void GatewayContext::answerHead(GatewayRequest& request, int status, HeaderList headers)
 {
--- a/src/request/sidecar/GatewayContext.h
+++ b/src/request/sidecar/GatewayContext.h
@@ -60,7 +60,7 @@
 
     std::string ledgerKey; ///< Plain and non-repeatable with a caller's key.
     std::uint64_t contentHash = 0; ///< As the ledger keeps it.
-    KeptAnswer keptAnswer;
+    StoredResponse keptAnswer;
 
     bool headSent = false;
     std::uint64_t answerBytes = 0; ///< Passed to the caller so far.
--- a/src/request/sidecar/GatewayLogic.cpp
+++ b/src/request/sidecar/GatewayLogic.cpp
@@ -176,7 +176,7 @@
     checkDrained();
 }
 
-void GatewayLogic::on(const gateway::FromPeer& event, Instant now)
+void GatewayLogic::on(const gateway::PeerMessage& event, Instant now)
 {
     std::visit(
         [&](const auto& message) {
@@ -189,7 +189,7 @@
     checkDrained();
 }
 
-void GatewayLogic::onMessage(PeerId from, const Announce& message, Instant now)
+void GatewayLogic::onMessage(PeerId from, const UpstreamAnnouncement& message, Instant now)
 {
     auto it = m_sidecars.find(from);
     if (it == m_sidecars.end())
@@ -257,7 +257,7 @@
     auto* request = current(from, message.request, message.attempt);
     if (!request)
         return;
-    if (message.hasBrokenOff && (from == request->upstream || from == request->prefill))
+    if (message.isDisconnected && (from == request->upstream || from == request->prefill))
         m_context.noteCrash(*request, from, now);
     withFlow(*request, [&](auto& flow) { flow.onFailed(*request, from, message, now); });
 }
--- a/src/request/sidecar/GatewayLogic.h
+++ b/src/request/sidecar/GatewayLogic.h
@@ -31,13 +31,13 @@
 private:
     void on(const gateway::PeerUp&, Instant);
     void on(const gateway::PeerDown&, Instant);
-    void on(const gateway::FromPeer&, Instant);
+    void on(const gateway::PeerMessage&, Instant);
     void on(const gateway::Submit&, Instant);
     void on(const gateway::CallerGone&, Instant);
     void on(const gateway::Drain&, Instant);
     void on(const gateway::Tick&, Instant);
 
-    void onMessage(PeerId, const Announce&, Instant);
+    void onMessage(PeerId, const UpstreamAnnouncement&, Instant);
     void onMessage(PeerId, const SlotGrant&, Instant);
     void onMessage(PeerId, const Refused&, Instant);
     void onMessage(PeerId, const PrefillDone&, Instant);
--- a/src/request/sidecar/PlainFlow.cpp
+++ b/src/request/sidecar/PlainFlow.cpp
@@ -75,7 +75,7 @@
 /// The key is known: the same request came before, through this gateway or another.
 void PlainFlow::resolveEarlier(GatewayRequest& request, const LedgerView& ledger, Instant now)
 {
-    if (ledger.finished && ledger.outcome == AdmissionState::Finished)
+    if (ledger.finished && ledger.outcome == AttemptState::Finished)
         return replay(request, ledger.answer, now);
     if (ledger.finished)
         return endUnknown(request, now);
@@ -84,7 +84,7 @@
     if (!m_context.upstreams.find(ledger.sidecar)) {
         // A new run of the replica can't tell what the former one did; one that is merely out of reach may return.
         if (m_context.upstreams.isReplaced(ledger.sidecar, request.caller.service))
-            recordOutcome(request, AdmissionState::Broken, {}, now);
+            recordOutcome(request, AttemptState::Interrupted, {}, now);
         return endUnknown(request, now);
     }
     request.phase = RequestPhase::WaitsForSeal;
@@ -97,23 +97,23 @@
     if (request.phase != RequestPhase::WaitsForSeal || from != request.upstream || reply.attempt != request.attempt)
         return;
     switch (reply.state) {
-    case AdmissionState::NeverAdmitted:
+    case AttemptState::NeverAdmitted:
         m_context.note(
             EventCode::AttemptSealed, request.id, "attempt " + std::to_string(reply.attempt.value()) + " never ran and never will");
         return place(request, now);
-    case AdmissionState::Running:
+    case AttemptState::Running:
         request.retryAfter = inProgressRetryAfter;
         return m_context.giveUp(request, ResultCode::InProgress, "this request is running; come back for its answer", now);
-    case AdmissionState::Finished:
-        recordOutcome(request, AdmissionState::Finished, reply.answer, now);
+    case AttemptState::Finished:
+        recordOutcome(request, AttemptState::Finished, reply.answer, now);
         return replay(request, reply.answer, now);
-    case AdmissionState::Broken:
-        recordOutcome(request, AdmissionState::Broken, {}, now);
+    case AttemptState::Interrupted:
+        recordOutcome(request, AttemptState::Interrupted, {}, now);
         return endUnknown(request, now);
     }
 }
 
-void PlainFlow::replay(GatewayRequest& request, const KeptAnswer& answer, Instant now)
+void PlainFlow::replay(GatewayRequest& request, const StoredResponse& answer, Instant now)
 {
     if (!answer.complete)
         return m_context.giveUp(
@@ -176,14 +176,14 @@
     m_context.noteServed(request, now);
     if (isKeyed(request)) {
         bool isSmall = request.keptAnswer.body.size() <= keptAnswerLimit;
-        auto kept = isSmall ? request.keptAnswer : KeptAnswer { request.keptAnswer.status, {}, {}, false };
+        auto kept = isSmall ? request.keptAnswer : StoredResponse { request.keptAnswer.status, {}, {}, false };
         kept.complete = isSmall;
-        recordOutcome(request, AdmissionState::Finished, std::move(kept), now);
+        recordOutcome(request, AttemptState::Finished, std::move(kept), now);
     }
     m_context.answerEnd(request, now);
 }
 
-void PlainFlow::recordOutcome(const GatewayRequest& request, AdmissionState state, KeptAnswer answer, Instant now)
+void PlainFlow::recordOutcome(const GatewayRequest& request, AttemptState state, StoredResponse answer, Instant now)
 {
     m_context.note(EventCode::OutcomeRecorded, request.id, "attempt " + std::to_string(request.attempt.value()));
     OutcomeCommand outcome { request.ledgerKey, request.attempt, state, std::move(answer) };
@@ -212,7 +212,7 @@
     bool mayRepeat = !failed.mayHaveRun || request.rules.repeatable || !m_context.safeguards.neverRepeats;
     if (!mayRepeat) {
         if (isKeyed(request))
-            recordOutcome(request, AdmissionState::Broken, {}, now);
+            recordOutcome(request, AttemptState::Interrupted, {}, now);
         return endUnknown(request, now);
     }
     if (request.headSent || !m_context.retries.take(now)) {
--- a/src/request/sidecar/PlainFlow.h
+++ b/src/request/sidecar/PlainFlow.h
@@ -41,9 +41,9 @@
     void proposeIntent(GatewayRequest&, Instant now);
     void dispatch(GatewayRequest&, Instant now);
     void resolveEarlier(GatewayRequest&, const LedgerView&, Instant now);
-    void replay(GatewayRequest&, const KeptAnswer&, Instant now);
+    void replay(GatewayRequest&, const StoredResponse&, Instant now);
     void endUnknown(GatewayRequest&, Instant now);
-    void recordOutcome(const GatewayRequest&, AdmissionState, KeptAnswer, Instant now);
+    void recordOutcome(const GatewayRequest&, AttemptState, StoredResponse, Instant now);
     [[nodiscard]] static bool isKeyed(const GatewayRequest& request) { return !request.ledgerKey.empty(); }
 
     GatewayContext& m_context;
--- a/src/request/sidecar/SidecarLogic.cpp
+++ b/src/request/sidecar/SidecarLogic.cpp
@@ -65,7 +65,7 @@
     pump(now);
 }
 
-void SidecarLogic::on(const sidecar::FromPeer& event, Instant now)
+void SidecarLogic::on(const sidecar::PeerMessage& event, Instant now)
 {
     std::visit(
         [&](const auto& message) {
@@ -141,7 +141,7 @@
     m_calls.erase(event.call);
     m_work.erase(key);
     if (answer)
-        send(gateway, Failed { key.request, key.attempt, event.code, event.mayHaveRun, load(gateway, now), event.hasBrokenOff });
+        send(gateway, Failed { key.request, key.attempt, event.code, event.mayHaveRun, load(gateway, now), event.isDisconnected });
     pump(now);
 }
 
@@ -227,7 +227,7 @@
     if (isGranted && m_gateways.contains(from))
         m_gateways[from].covered = std::max(m_gateways[from].covered, m.sequence);
     auto& work = isGranted ? it->second : addWork(from, key, m.priority, m.budget, now);
-    work.deadline = now + m.timeliness;
+    work.deadline = now + m.targetWait;
     work.promptTokens = m.promptTokens;
     work.maxTokens = m.maxTokens;
     work.call.method = "POST";
@@ -279,7 +279,7 @@
 {
     auto reply = m_ledger.seal(m);
     note(EventCode::AttemptSealed, { m.request, m.attempt },
-        reply.state == AdmissionState::NeverAdmitted ? "never admitted, sealed now" : "was admitted before");
+        reply.state == AttemptState::NeverAdmitted ? "never admitted, sealed now" : "was admitted before");
     send(from, std::move(reply));
 }
 
@@ -332,7 +332,7 @@
 
 void SidecarLogic::announce(PeerId gateway, const LoadReport& report)
 {
-    send(gateway, Announce { m_profile.service, m_profile.kind, m_profile.model, m_profile.lease, report });
+    send(gateway, UpstreamAnnouncement { m_profile.service, m_profile.kind, m_profile.model, m_profile.lease, report });
 }
 
 void SidecarLogic::announceAll(Instant now)
@@ -362,7 +362,7 @@
 
 void SidecarLogic::note(EventCode code, const WorkKey& key, std::string text)
 {
-    m_effects.push_back(Note { code, key.request, std::move(text) });
+    m_effects.push_back(LogEvent { code, key.request, std::move(text) });
 }
 
 } // namespace wrenhinge
--- a/src/request/sidecar/SidecarLogic.h
+++ b/src/request/sidecar/SidecarLogic.h
@@ -65,7 +65,7 @@
 
     void on(const sidecar::PeerUp&, Instant);
     void on(const sidecar::PeerDown&, Instant);
-    void on(const sidecar::FromPeer&, Instant);
+    void on(const sidecar::PeerMessage&, Instant);
     void on(const sidecar::CallHead&, Instant);
     void on(const sidecar::CallData&, Instant);
     void on(const sidecar::CallEnd&, Instant);
--- a/src/request/sidecar/UpstreamTable.cpp
+++ b/src/request/sidecar/UpstreamTable.cpp
@@ -33,7 +33,7 @@
     remove(id);
 }
 
-UpstreamTable::Change UpstreamTable::announce(const Hello& peer, const Announce& message, Instant now)
+UpstreamTable::Change UpstreamTable::announce(const Hello& peer, const UpstreamAnnouncement& message, Instant now)
 {
     auto [it, isNew] = m_upstreams.try_emplace(peer.id);
     auto& upstream = it->second;
--- a/src/request/sidecar/UpstreamTable.h
+++ b/src/request/sidecar/UpstreamTable.h
@@ -51,7 +51,7 @@
     void linked(PeerId);
     /// The link is gone, and the upstream with it.
     void unlinked(PeerId);
-    Change announce(const Hello&, const Announce&, Instant now);
+    Change announce(const Hello&, const UpstreamAnnouncement&, Instant now);
     void remove(PeerId);
     /// Takes the load that came with a reply.
     void report(PeerId, const LoadReport&, Instant now);
--- a/src/request/sidecar/Work.h
+++ b/src/request/sidecar/Work.h
@@ -53,7 +53,7 @@
     bool repeatable = true;
     bool detached = false; ///< The gateway has gone, but the call can't be taken back: it runs on for its outcome.
     std::string ledgerKey;
-    KeptAnswer answer; ///< Keyed calls: gathered for the ledger.
+    StoredResponse answer; ///< Keyed calls: gathered for the ledger.
     std::string kvParams;
     UpstreamCall call;
 };
--- a/src/version/ConfigFollower.cpp
+++ b/src/version/ConfigFollower.cpp
@@ -19,7 +19,7 @@
 
 ConfigFollower::Sends ConfigFollower::onWatch(PeerId from, const Watch& watch) const
 {
-    if (watch.have >= m_configuration.version())
+    if (watch.version >= m_configuration.version())
         return {};
     return { { from, m_configuration.snapshot() } };
 }
@@ -60,7 +60,7 @@
 {
     Sends sends;
     for (auto controller : m_controllers)
-        sends.emplace_back(controller, InForce { m_configuration.version() });
+        sends.emplace_back(controller, ConfigApplied { m_configuration.version() });
     return sends;
 }
 
--- a/src/version/ControllerLogic.cpp
+++ b/src/version/ControllerLogic.cpp
@@ -87,13 +87,13 @@
     return isMember ? &it->second : nullptr;
 }
 
-void ControllerLogic::on(const controller::FromPeer& event, Instant now)
+void ControllerLogic::on(const controller::PeerMessage& event, Instant now)
 {
     if (const auto* propose = std::get_if<Propose>(&event.message)) {
         this->propose(propose->command, { 0, event.peer, propose->proposal, false }, now);
     } else if (const auto* watch = std::get_if<Watch>(&event.message)) {
         onWatch(event.peer, *watch, now);
-    } else if (const auto* inForce = std::get_if<InForce>(&event.message)) {
+    } else if (const auto* inForce = std::get_if<ConfigApplied>(&event.message)) {
         onInForce(event.peer, *inForce, now);
     } else if (const auto* answer = std::get_if<ProposeReply>(&event.message)) {
         if (m_forwarded.erase(answer->proposal))
@@ -312,10 +312,10 @@
     auto& watcher = m_watchers[peer];
     watcher.peer = m_peers[peer];
     watcher.peer.id = peer;
-    watcher.sent = watch.have;
+    watcher.sent = watch.version;
     watcher.askedAt = now;
     // A process that knows nothing takes whatever we say for the newest, and may have known better before its restart.
-    watcher.isWaiting = watcher.needsConfirmation = watch.have == ConfigVersion();
+    watcher.isWaiting = watcher.needsConfirmation = watch.version == ConfigVersion();
     watcher.ticket = 0;
     if (watcher.isWaiting)
         confirmWatchers(now);
@@ -353,7 +353,7 @@
     }
 }
 
-void ControllerLogic::onInForce(PeerId peer, const InForce& message, Instant now)
+void ControllerLogic::onInForce(PeerId peer, const ConfigApplied& message, Instant now)
 {
     auto it = m_watchers.find(peer);
     if (it == m_watchers.end())
@@ -423,7 +423,7 @@
         } else if (auto* ready = std::get_if<raft::ReadReady>(&effect)) {
             onReadReady(ready->ticket);
             confirmReaders(ready->ticket);
-        } else if (auto* note = std::get_if<Note>(&effect)) {
+        } else if (auto* note = std::get_if<LogEvent>(&effect)) {
             m_effects.push_back(std::move(*note));
         }
     }
@@ -435,13 +435,13 @@
     auto answer = m_state.apply(entry);
     if (std::holds_alternative<ConfigCommand>(entry.command)) {
         bool accepted = answer.code == ResultCode::Ok;
-        m_effects.push_back(Note { accepted ? EventCode::ConfigAccepted : EventCode::ConfigRefused, {},
+        m_effects.push_back(LogEvent { accepted ? EventCode::ConfigAccepted : EventCode::ConfigRefused, {},
             accepted ? "version " + std::to_string(answer.number) : answer.text });
     }
     if (const auto* document = std::get_if<DocumentCommand>(&entry.command); document && answer.number == document->version)
-        m_effects.push_back(Note { EventCode::DocumentInForce, {}, "version " + std::to_string(document->version) });
+        m_effects.push_back(LogEvent { EventCode::DocumentInForce, {}, "version " + std::to_string(document->version) });
     if (std::holds_alternative<ReplaceDiskCommand>(entry.command))
-        m_effects.push_back(Note { EventCode::DiskReplaced, {}, std::get<ReplaceDiskCommand>(entry.command).name });
+        m_effects.push_back(LogEvent { EventCode::DiskReplaced, {}, std::get<ReplaceDiskCommand>(entry.command).name });
     if (auto it = m_waiting.find(entry.index); it != m_waiting.end()) {
         // Another leader's entry may have taken the place of the one that was proposed here.
         reply(it->second, it->second.term == entry.term ? std::move(answer) : notLeader());
--- a/src/version/ControllerLogic.h
+++ b/src/version/ControllerLogic.h
@@ -20,8 +20,8 @@
 namespace controller {
 
     // Events.
-    using wrenhinge::FromPeer;
     using wrenhinge::PeerDown;
+    using wrenhinge::PeerMessage;
     using wrenhinge::PeerUp;
     /// A proposal from this process itself, such as the admin server's. The reply is a LocalReply.
     struct LocalPropose {
@@ -36,7 +36,7 @@
         std::uint64_t ticket = 0;
     };
     struct Tick { };
-    using Event = std::variant<PeerUp, PeerDown, FromPeer, LocalPropose, LocalRead, Tick>;
+    using Event = std::variant<PeerUp, PeerDown, PeerMessage, LocalPropose, LocalRead, Tick>;
 
     // Effects. Persist and SaveSnapshot must be durable before any later effect is carried out.
     struct Send {
@@ -47,7 +47,7 @@
         std::uint64_t ticket = 0;
         ProposeReply reply;
     };
-    using Effect = std::variant<raft::Persist, raft::SaveSnapshot, Send, LocalReply, Note>;
+    using Effect = std::variant<raft::Persist, raft::SaveSnapshot, Send, LocalReply, LogEvent>;
 
 } // namespace controller
 
@@ -111,7 +111,7 @@
 
     void on(const controller::PeerUp&, Instant);
     void on(const controller::PeerDown&, Instant);
-    void on(const controller::FromPeer&, Instant);
+    void on(const controller::PeerMessage&, Instant);
     void on(const controller::LocalPropose&, Instant);
     void on(const controller::LocalRead&, Instant);
     void on(const controller::Tick&, Instant);
@@ -128,7 +128,7 @@
     [[nodiscard]] PeerId leaderPeer() const;
     void propose(Command, Waiting, Instant);
     void onWatch(PeerId, const Watch&, Instant);
-    void onInForce(PeerId, const InForce&, Instant);
+    void onInForce(PeerId, const ConfigApplied&, Instant);
     void confirmWatchers(Instant);
     void onReadReady(std::uint64_t ticket);
     void bringUpToDate(Watcher&);
--- a/src/version/DocumentFollower.cpp
+++ b/src/version/DocumentFollower.cpp
@@ -18,7 +18,7 @@
 
 Instant DocumentFollower::nextWake() const { return m_transfer ? m_transfer->askedAt + m_patience : Instant::max(); }
 
-void DocumentFollower::on(const FromPeer& event, Instant now)
+void DocumentFollower::on(const PeerMessage& event, Instant now)
 {
     if (const auto* offer = std::get_if<DocumentOffer>(&event.message))
         onOffer(event.peer, *offer);
@@ -82,7 +82,7 @@
     auto steps = decodeValue<std::vector<DocumentStep>>(transfer.bytes);
     if (!steps || !apply(*steps)) {
         // Never seen; without this a text that differs from the controllers' would stay until a restart.
-        m_effects.push_back(Note { EventCode::DocumentRefused, {},
+        m_effects.push_back(LogEvent { EventCode::DocumentRefused, {},
             "the steps from version " + std::to_string(transfer.request.held) + " to " + std::to_string(transfer.request.version)
                 + " don't fit; the whole is asked for" });
         m_needsWhole = true;
--- a/src/version/DocumentFollower.h
+++ b/src/version/DocumentFollower.h
@@ -27,11 +27,11 @@
 
 namespace document {
 
-    // Events. FromPeer's message is a DocumentOffer or a DocumentPart; others are passed by.
-    using wrenhinge::FromPeer;
+    // Events. PeerMessage's message is a DocumentOffer or a DocumentPart; others are passed by.
     using wrenhinge::PeerDown;
+    using wrenhinge::PeerMessage;
     struct Tick { };
-    using Event = std::variant<FromPeer, PeerDown, Tick>;
+    using Event = std::variant<PeerMessage, PeerDown, Tick>;
 
     // Effects.
     struct Ask {
@@ -48,7 +48,7 @@
     struct Confirm {
         std::uint64_t version = 0;
     };
-    using Effect = std::variant<Ask, Take, Confirm, Note>;
+    using Effect = std::variant<Ask, Take, Confirm, LogEvent>;
 
 } // namespace document
 
@@ -84,7 +84,7 @@
         Instant askedAt;
     };
 
-    void on(const document::FromPeer&, Instant);
+    void on(const document::PeerMessage&, Instant);
     void on(const document::PeerDown&, Instant);
     void on(const document::Tick&, Instant);
     void onOffer(PeerId, const DocumentOffer&);
--- a/src/version/Ledger.h
+++ b/src/version/Ledger.h
@@ -21,8 +21,8 @@
         PeerId sidecar;
         RequestId request;
         bool finished = false;
-        AdmissionState outcome = AdmissionState::Running;
-        KeptAnswer answer;
+        AttemptState outcome = AttemptState::Running;
+        StoredResponse answer;
         MSGPACK_DEFINE(fingerprint, attempt, sidecar, request, finished, outcome, answer)
     };
 
--- a/src/version/Raft.cpp
+++ b/src/version/Raft.cpp
@@ -139,7 +139,7 @@
     m_leader.clear();
     if (!m_hard.isVoter || !isMember(m_settings.self)) {
         if (!m_settings.isDynamic)
-            m_effects.push_back(Note { EventCode::VoteWithheld, {}, "this disk is not registered yet" });
+            m_effects.push_back(LogEvent { EventCode::VoteWithheld, {}, "this disk is not registered yet" });
         return;
     }
     m_standing = Standing::PreCandidate;
@@ -240,7 +240,7 @@
             m_progress[learner] = freshProgress(lastIndex() + 1, diskOf(learner), now);
     }
     m_effects.push_back(raft::LeaderChanged { true });
-    m_effects.push_back(Note { EventCode::LeaderElected, {}, "term " + std::to_string(m_hard.term) });
+    m_effects.push_back(LogEvent { EventCode::LeaderElected, {}, "term " + std::to_string(m_hard.term) });
     // Entries of earlier terms may only be committed together with one of this term.
     appendOwn(NoopCommand {});
     registerDisks();
@@ -262,7 +262,7 @@
     resetElectionTimer(now);
     if (wasLeader) {
         m_effects.push_back(raft::LeaderChanged { false });
-        m_effects.push_back(Note { EventCode::LeaderLost, {}, "term " + std::to_string(m_hard.term) });
+        m_effects.push_back(LogEvent { EventCode::LeaderLost, {}, "term " + std::to_string(m_hard.term) });
     }
 }
 
--- a/src/version/Raft.h
+++ b/src/version/Raft.h
@@ -101,7 +101,7 @@
     struct ReadReady {
         std::uint64_t ticket = 0;
     };
-    using Effect = std::variant<Persist, SaveSnapshot, Send, Apply, Restore, LeaderChanged, ReadReady, Note>;
+    using Effect = std::variant<Persist, SaveSnapshot, Send, Apply, Restore, LeaderChanged, ReadReady, LogEvent>;
 
 } // namespace raft
 
--- a/src/version/RaftMembers.cpp
+++ b/src/version/RaftMembers.cpp
@@ -124,7 +124,7 @@
     std::string text;
     for (const auto& name : members)
         text += (text.empty() ? "" : ", ") + name;
-    m_effects.push_back(Note { EventCode::MembersChanged, {}, text });
+    m_effects.push_back(LogEvent { EventCode::MembersChanged, {}, text });
     appendOwn(MembersCommand { std::move(members) });
     registerDisks();
     broadcast(now);
--- a/src/version/RaftSnapshot.cpp
+++ b/src/version/RaftSnapshot.cpp
@@ -48,7 +48,7 @@
         // left a controller that ended whenever it was sent them. Without an answer the chunk comes again at the pace of resends.
         m_incoming = {};
         m_effects.push_back(
-            Note { EventCode::SnapshotRefused, {}, from + " sent one that can't be read, up to " + std::to_string(chunk.lastIndex) });
+            LogEvent { EventCode::SnapshotRefused, {}, from + " sent one that can't be read, up to " + std::to_string(chunk.lastIndex) });
         return;
     }
     if (isWhole && chunk.lastIndex > m_commit) {
@@ -63,7 +63,7 @@
         m_commit = m_applied = m_snapshot.lastIndex;
         m_effects.push_back(raft::SaveSnapshot { m_snapshot });
         m_effects.push_back(raft::Restore { m_snapshot });
-        m_effects.push_back(Note { EventCode::SnapshotInstalled, {}, "up to index " + std::to_string(m_snapshot.lastIndex) });
+        m_effects.push_back(LogEvent { EventCode::SnapshotInstalled, {}, "up to index " + std::to_string(m_snapshot.lastIndex) });
     }
     m_effects.push_back(raft::Send { from, SnapshotReply { m_hard.term, chunk.lastIndex, received, m_settings.disk } });
 }
@@ -105,7 +105,7 @@
     }
     Effects effects;
     effects.push_back(raft::SaveSnapshot { m_snapshot });
-    effects.push_back(Note { EventCode::SnapshotTaken, {}, "up to index " + std::to_string(m_applied) });
+    effects.push_back(LogEvent { EventCode::SnapshotTaken, {}, "up to index " + std::to_string(m_applied) });
     return effects;
 }
 
--- a/test/correctness/DocumentTest.cpp
+++ b/test/correctness/DocumentTest.cpp
@@ -61,7 +61,7 @@
     void offer(std::size_t i, bool isCurrent = true)
     {
         for (const auto& [to, offer] : m_controllers[i].source.offers(m_controllers[i].history, isCurrent, now))
-            step(document::FromPeer { peerOf(i), offer });
+            step(document::PeerMessage { peerOf(i), offer });
     }
     /// Answers questions until there is none; \returns how many parts that took.
     int answerAll()
@@ -81,7 +81,7 @@
             if (!part)
                 continue;
             bytes += part->bytes.size();
-            step(document::FromPeer { ask.to, std::move(*part) });
+            step(document::PeerMessage { ask.to, std::move(*part) });
             return true;
         }
         return false;
@@ -291,13 +291,13 @@
         }
     };
     for (std::size_t i = 0; i < controllers; ++i)
-        step(document::FromPeer { Bench::peerOf(i), DocumentOffer { 1, true } });
+        step(document::PeerMessage { Bench::peerOf(i), DocumentOffer { 1, true } });
     while (!isTaken && now < start + 60s) {
         if (!underWay.empty() && underWay.front().at <= follower.nextWake()) {
             auto answer = std::move(underWay.front());
             underWay.pop_front();
             now = answer.at;
-            step(document::FromPeer { answer.from, std::move(answer.part) });
+            step(document::PeerMessage { answer.from, std::move(answer.part) });
         } else {
             now = follower.nextWake();
             step(document::Tick {});
@@ -370,7 +370,7 @@
     std::vector<DocumentStep> steps { { 1, 2, changeBetween(noise(9, 9), textOf(9)) } };
     steps.front().change.checksum = 1;
     auto bytes = encodeValue(steps);
-    bench.step(document::FromPeer { Bench::peerOf(0), DocumentPart { 2, 1, 0, bytes.size(), bytes } });
+    bench.step(document::PeerMessage { Bench::peerOf(0), DocumentPart { 2, 1, 0, bytes.size(), bytes } });
     CHECK(bench.notes == 1);
     bench.answerAll();
     CHECK(*bench.taken.back().text == textOf(2));
--- a/test/correctness/ForwardTest.cpp
+++ b/test/correctness/ForwardTest.cpp
@@ -203,7 +203,7 @@
     Bench bench;
     bench.serve().replica("a").replica("b");
     bench.replica("a", UpstreamKind::Plain, 5, ReplicaState::Draining).replica("a", UpstreamKind::Plain, 4);
-    bench.post(Withdrawn { "b" });
+    bench.post(ReplicaWithdrawn { "b" });
     bench.replica("b", UpstreamKind::Plain, 9);
     bench.ask("/once/x");
     CHECK(bench.only<Refuse>().error.code == ResultCode::NoUpstream);
@@ -491,7 +491,7 @@
         auto first = bench.run(id);
         CHECK(first.cacheAddress.empty());
         if (!isReaderThere)
-            bench.post(Withdrawn { "p" });
+            bench.post(ReplicaWithdrawn { "p" });
         bench.post(CallFailed { id, first.attempt, true, "reset" });
         auto second = bench.only<Send>();
         CHECK(!second.source);
@@ -972,7 +972,7 @@
     auto reader = first.source->replica;
     bench.restart("p", UpstreamKind::Prefill);
     CHECK((bench.only<ForgetReplica>().replica == reader));
-    CHECK(bench.did<Note>().front().code == EventCode::UpstreamRestarted);
+    CHECK(bench.did<LogEvent>().front().code == EventCode::UpstreamRestarted);
     bench.streamHead(first);
     bench.post(AnswerBody { id, first.attempt, "id: 1\ndata: a\n\n" });
     bench.post(CallFailed { id, first.attempt, true, "reset" });
@@ -987,12 +987,12 @@
     bench.serve().restart("a");
     bench.ask("/once/x");
     auto former = bench.only<Send>().replica;
-    bench.post(Withdrawn { "a", former.start });
+    bench.post(ReplicaWithdrawn { "a", former.start });
     bench.ask("/once/x");
     CHECK(bench.only<Refuse>().error.code == ResultCode::NoUpstream);
     bench.restart("a");
     bench.replica("a", UpstreamKind::Plain, 99, ReplicaState::Draining, former.start);
-    bench.post(Withdrawn { "a", former.start });
+    bench.post(ReplicaWithdrawn { "a", former.start });
     bench.ask("/once/x");
     CHECK(former.isBefore(bench.only<Send>().replica));
 }
@@ -1015,7 +1015,7 @@
         announcement.zone = "zone-1";
         announcement.slots = 6;
         announcement.kind = UpstreamKind::Prefill;
-        bench.post(Announced { announcement, ReplicaRegistry::overdueAfter + 100ms });
+        bench.post(RelayedAnnouncement { announcement, ReplicaRegistry::overdueAfter + 100ms });
     }
     auto allowed = bench.logic().retryBudget(bench.now)["engine"];
     int refused = 0;
@@ -1077,7 +1077,7 @@
         CHECK((tell.report.crashes[0].run() == send.replica));
         CHECK(tell.report.crashes[0].ranFor == 100ms);
         CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 502);
-        bench.post(Withdrawn { send.replica.id, {} });
+        bench.post(ReplicaWithdrawn { send.replica.id, {} });
         bench.now += 400ms;
     }
     bench.ask("/once/x", {}, crashing);
@@ -1100,7 +1100,7 @@
     bench.ask("/once/x", {}, crashing);
     CHECK(bench.did<Send>().size() == 1);
     bench.post(told(3));
-    CHECK(bench.did<Note>().back().code == EventCode::RequestCrashesReplicas);
+    CHECK(bench.did<LogEvent>().back().code == EventCode::RequestCrashesReplicas);
     bench.ask("/stream/x", {}, crashing);
     CHECK(bench.did<Send>().empty());
     CHECK(bench.did<TakePlace>().empty());
--- a/test/correctness/ReplicationTest.cpp
+++ b/test/correctness/ReplicationTest.cpp
@@ -258,11 +258,11 @@
     logic.start();
     std::vector<controller::Event> events { controller::PeerUp { helloOf(leaderPeer, Role::Controller, "b") },
         controller::PeerUp { helloOf(gatewayPeer, Role::Gateway, "g") },
-        controller::FromPeer { leaderPeer, AppendRequest { 4, 11, 3, 10, 1, { { 4, 12, NoopCommand {} } } } } };
+        controller::PeerMessage { leaderPeer, AppendRequest { 4, 11, 3, 10, 1, { { 4, 12, NoopCommand {} } } } } };
     auto offer = lastOffer(logic.step(events, start));
     if (offer)
         CHECK_FALSE(offer->isCurrent);
-    events = { controller::FromPeer { leaderPeer, AppendRequest { 4, 12, 4, 12, 2, {} } } };
+    events = { controller::PeerMessage { leaderPeer, AppendRequest { 4, 12, 4, 12, 2, {} } } };
     offer = lastOffer(logic.step(events, start));
     REQUIRE(offer);
     CHECK(offer->version == 6);
@@ -277,7 +277,7 @@
     logic.start();
     constexpr std::uint64_t ticket = 7;
     std::vector<controller::Event> events { controller::PeerUp { helloOf(leaderPeer, Role::Controller, "b") },
-        controller::FromPeer { leaderPeer, AppendRequest { 4, 0, 0, 0, 1, {} } }, controller::LocalRead { ticket } };
+        controller::PeerMessage { leaderPeer, AppendRequest { 4, 0, 0, 0, 1, {} } }, controller::LocalRead { ticket } };
     logic.step(events, start);
     events = { controller::PeerDown { leaderPeer } };
     std::size_t replies = 0;
@@ -316,7 +316,7 @@
     REQUIRE(held.version() == 1);
     std::vector<controller::Event> events;
     for (std::uint64_t version = 2; version <= 9; ++version)
-        events.emplace_back(controller::FromPeer { leaderPeer, Propose { version, held.commandFor(version, textOf(version)) } });
+        events.emplace_back(controller::PeerMessage { leaderPeer, Propose { version, held.commandFor(version, textOf(version)) } });
     step(events);
     for (int i = 0; i < 9; ++i)
         step({ controller::Tick {} });
--- a/test/correctness/RunTest.cpp
+++ b/test/correctness/RunTest.cpp
@@ -241,8 +241,8 @@
     CHECK((same.entries().at("i-10000007").heardAt == start));
 
     auto without = heartbeat;
-    without.startedAfter.clear();
-    without.earliest = unsaid;
+    without.startOffsets.clear();
+    without.earliestStart = unsaid;
     CHECK(bytes.size() - encode(without).size() <= 101 * 5 + 12);
 }
 
--- a/test/support/ForwardBench.h
+++ b/test/support/ForwardBench.h
@@ -74,7 +74,7 @@
         announcement.state = state;
         announcement.sequence = sequence;
         announcement.start = start;
-        post(Announced { announcement, Duration::zero() });
+        post(RelayedAnnouncement { announcement, Duration::zero() });
         return *this;
     }
 
--- a/test/support/World.cpp
+++ b/test/support/World.cpp
@@ -471,7 +471,7 @@
             auto it = node.links.find(from);
             if (it == node.links.end() || it->second != item.link)
                 return;
-            stepPeerEvent(node, FromPeer { item.from, item.message });
+            stepPeerEvent(node, PeerMessage { item.from, item.message });
         });
     }
 }
