--- a/src/message/Codec.h
+++ b/src/message/Codec.h
@@ -1,7 +1,7 @@
 /** \file
- * Bytes of a message and back, by msgpack: `[index of the type, fields]`.
+ * Serializes messages with msgpack, as `[index of the type, fields]`.
  *
- * The index is the position in `Message` (or `Command`), so new types go to the end.
+ * The index is the position in `Message` (or `Command`), so new types are added at the end.
  */
 #pragma once
 
@@ -14,16 +14,16 @@
 
 namespace wrenhinge {
 
-/// The bytes of a message.
+/// Serializes a message.
 std::string encode(const Message&);
 
-/// The message in these bytes, or nothing if they are not exactly one.
+/// Parses a message. \returns nothing unless the bytes are exactly one valid message.
 std::optional<Message> decode(std::string_view);
 
-/// The name-giving index of a message that may not be readable otherwise: its position in `Message`.
+/// The type index of a message (its position in `Message`), even if the rest of it can't be parsed.
 std::optional<std::uint32_t> typeIndex(std::string_view);
 
-/// Any msgpack-able value as bytes, for the log and for snapshots.
+/// Serializes any value that msgpack supports, for the log and for snapshots.
 template <typename T> std::string encodeValue(const T& value)
 {
     msgpack::sbuffer buf;
@@ -31,20 +31,20 @@
     return { buf.data(), buf.size() };
 }
 
-/// Messages nest a handful of times; what nests deeper is none.
+/// The deepest nesting of arrays and maps that is accepted. Valid messages nest only a few levels deep.
 inline constexpr std::size_t maxNestingDepth = 32;
 
-/// The parts of the value in these bytes; throws if they are none.
+/// Parses bytes into msgpack objects, with limits on their size and nesting. Throws on invalid bytes.
 inline msgpack::object_handle unpackBounded(std::string_view bytes)
 {
-    // A few bytes may claim an array of four thousand million elements, for which msgpack would reserve memory before it
-    // looks for them: a damaged or hostile message then ended the process. No value has more parts than bytes.
+    // A header of a few bytes can claim an array of four billion elements, for which msgpack would allocate memory before
+    // it reads them, so that a corrupt or malicious message crashed the process. No value has more elements than bytes.
     auto most = bytes.size();
     msgpack::unpack_limit limit(most, most, most, most, most, maxNestingDepth);
     return msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
 }
 
-/// The value in these bytes, or nothing.
+/// Parses a value of type `T`. \returns nothing if the bytes are not one.
 template <typename T> std::optional<T> decodeValue(std::string_view bytes)
 {
     try {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The elements of the array in these bytes, each on its own: nothing where one can't be read. Nothing at all if there is no array.
+/// Parses an array element by element. \returns nothing if the bytes are not an array, and nothing for each element that is invalid.
 template <typename T> std::optional<std::vector<std::optional<T>>> decodeEach(std::string_view bytes)
 {
     try {
--- a/src/message/Messages.h
+++ b/src/message/Messages.h
@@ -1,9 +1,9 @@
 /** \file
  * The typed messages between wrenhinge's own processes.
  *
- * Each message is a plain struct; `Message` is the closed set of them. Codec.h turns one into bytes. The same
- * structs are events of the state machines in tests, so nothing here knows about sockets. Times in messages are
- * durations from their receipt, never instants.
+ * Each message is a plain struct; `Message` is the closed set of them. Codec.h serializes them. Tests pass the same
+ * structs to the state machines as events, so nothing here depends on sockets. Times in messages are durations relative
+ * to receipt, never instants.
  */
 #pragma once
 
@@ -22,9 +22,9 @@
 namespace wrenhinge {
 
 enum class Role : std::uint8_t { Gateway, Sidecar, Controller };
-/// What an upstream does for the system.
+/// The stage that an upstream serves: prefill or decode of a model, or a plain service.
 enum class UpstreamKind : std::uint8_t { Prefill, Decode, Plain };
-/// Urgent goes before Normal in every queue.
+/// Urgent requests are served before Normal ones in every queue.
 enum class Priority : std::uint8_t { Urgent, Normal };
 
 template <> struct WireEnum<Role> : WireEnumUpTo<Role::Controller> {
@@ -41,7 +41,7 @@
 
 // --- Every link -------------------------------------------------------------------------------------------------
 
-/// The first message on a link, both ways: who speaks.
+/// The first message on a link, in both directions: identifies the sender.
 struct Hello {
     PeerId id;
     Role role = Role::Gateway;
@@ -49,31 +49,31 @@
     std::string site;
     std::string zone;
     std::string adminAddress;
-    DiskId disk; ///< Controllers only: the identity of the data folder.
+    DiskId disk; ///< Controllers only: the identity of the data directory.
     MSGPACK_DEFINE(id, role, name, site, zone, adminAddress, disk)
 };
 
 // --- Sidecar to gateway -----------------------------------------------------------------------------------------
 
-/// What a sidecar knows about its upstream at one moment. It rides on every reply and on each lease renewal.
-/// The cost model `fixedCost + microsPerToken * tokens` is learnt: for prefill the run, for decode the transfer and
-/// first token, for a plain service the call.
+/// A snapshot of an upstream's load, included in every reply of its sidecar and in each lease renewal.
+/// The cost model `fixedCost + microsPerToken * tokens` is estimated from completed work: for prefill the whole run, for
+/// decode the transfer and the first token, for a plain service the call.
 struct LoadReport {
-    std::uint64_t covered = 0; ///< The highest `sequence` of this gateway's requests that the figures include.
+    std::uint64_t covered = 0; ///< The highest `sequence` of this gateway's requests that this report accounts for.
     std::uint32_t slots = 0;
-    std::uint32_t occupied = 0; ///< Slots running or granted.
+    std::uint32_t occupied = 0; ///< Slots in use or granted.
     std::uint32_t queued = 0;
-    Duration backlog {}; ///< Predicted time until work that arrives now would start.
+    Duration backlog {}; ///< Predicted queueing delay of work that arrives now.
     Duration urgentBacklog {}; ///< The same for urgent work.
     Duration fixedCost {};
     double microsPerToken = 0;
-    Duration meanHold {}; ///< Learnt mean time that a request holds a slot.
-    Duration tokenInterval {}; ///< Decode: learnt mean time between tokens.
+    Duration meanHold {}; ///< Measured mean time for which a request occupies a slot.
+    Duration tokenInterval {}; ///< Decode: measured mean time between tokens.
     bool draining = false;
     MSGPACK_DEFINE(covered, slots, occupied, queued, backlog, urgentBacklog, fixedCost, microsPerToken, meanHold, tokenInterval, draining)
 };
 
-/// Introduces the upstream and renews its lease. Without renewal within `lease` the gateway stops using it.
+/// Registers the upstream with a gateway and renews its lease. The gateway stops using it if it isn't renewed within `lease`.
 struct UpstreamAnnouncement {
     std::string service;
     UpstreamKind kind = UpstreamKind::Plain;
@@ -83,7 +83,7 @@
     MSGPACK_DEFINE(service, kind, model, lease, load)
 };
 
-/// A decode slot is kept for this request until `validFor` has passed.
+/// A decode slot is reserved for this request until `validFor` has elapsed.
 struct SlotGrant {
     RequestId request;
     Attempt attempt;
@@ -92,7 +92,7 @@
     MSGPACK_DEFINE(request, attempt, validFor, load)
 };
 
-/// The sidecar did not admit this attempt and never will.
+/// The sidecar rejected this attempt and will never admit it.
 struct Refused {
     RequestId request;
     Attempt attempt;
@@ -105,7 +105,7 @@
 struct PrefillDone {
     RequestId request;
     Attempt attempt;
-    std::string kvParams; ///< The engine's kv_transfer_params, JSON, opaque to us.
+    std::string kvParams; ///< The engine's kv_transfer_params: JSON that wrenhinge doesn't interpret.
     std::uint32_t cachedTokens = 0;
     LoadReport load;
     MSGPACK_DEFINE(request, attempt, kvParams, cachedTokens, load)
@@ -119,7 +119,7 @@
     MSGPACK_DEFINE(request, attempt, status, headers)
 };
 
-/// A piece of the answer at its byte offset: a piece that was lost or crossed shows as a wrong offset.
+/// A chunk of the response at its byte offset, so that lost or reordered chunks are detected.
 struct ResponseData {
     RequestId request;
     Attempt attempt;
@@ -137,14 +137,14 @@
     MSGPACK_DEFINE(request, attempt, totalBytes, load)
 };
 
-/// An admitted attempt broke off. `mayHaveRun` is false only if no byte went to the upstream.
+/// An admitted attempt failed. `mayHaveRun` is false only if no byte was sent to the upstream.
 struct Failed {
     RequestId request;
     Attempt attempt;
     ResultCode code = ResultCode::UpstreamFailed;
     bool mayHaveRun = true;
     LoadReport load;
-    bool isDisconnected = false; ///< The upstream closed its connection before the answer was whole: it may have ended.
+    bool isDisconnected = false; ///< The upstream closed its connection before the response was complete: its process may have ended.
     MSGPACK_DEFINE(request, attempt, code, mayHaveRun, load, isDisconnected)
 };
 
@@ -152,18 +152,18 @@
 template <> struct WireEnum<AttemptState> : WireEnumUpTo<AttemptState::Interrupted> {
 };
 
-/// The recorded answer of a keyed request, kept while small.
+/// The recorded response to a request with an idempotency key, stored if it is small enough.
 struct StoredResponse {
     int status = 0;
     HeaderList headers;
     std::string body;
-    bool complete = false; ///< False: it ran, but the answer was too large to keep.
+    bool complete = false; ///< False: the request ran, but its response was too large to store.
     MSGPACK_DEFINE(status, headers, body, complete)
 };
 
-/// The answer to Seal: what became of (key, attempt) at this sidecar. NeverAdmitted also means: sealed now.
+/// The reply to Seal: the state of (key, attempt) at this sidecar. NeverAdmitted also means that the attempt is sealed now.
 struct SealReply {
-    RequestId request; ///< The asking request.
+    RequestId request; ///< The request that sent the Seal.
     std::string key;
     Attempt attempt;
     AttemptState state = AttemptState::NeverAdmitted;
@@ -173,14 +173,14 @@
 
 // --- Gateway to sidecar -----------------------------------------------------------------------------------------
 
-/// Asks a decode sidecar for a slot, timed to the end of prefill and transfer.
+/// Requests a slot from a decode sidecar, to be free when prefill and transfer are expected to end.
 struct SlotRequest {
     RequestId request;
     Attempt attempt;
     std::uint64_t sequence = 0;
     Priority priority = Priority::Normal;
-    Duration leadTime {}; ///< Prefill and transfer are expected to take this long after the grant.
-    Duration budget {}; ///< The longest wait for the grant that still meets the target.
+    Duration leadTime {}; ///< Expected time from the grant to the end of prefill and transfer.
+    Duration budget {}; ///< The longest wait for the grant that still meets the latency target.
     std::uint32_t promptTokens = 0;
     std::uint32_t maxTokens = 0;
     MSGPACK_DEFINE(request, attempt, sequence, priority, leadTime, budget, promptTokens, maxTokens)
@@ -191,22 +191,22 @@
     Attempt attempt;
     std::uint64_t sequence = 0;
     Priority priority = Priority::Normal;
-    Duration budget {}; ///< Refuse when the prefill can't end within this.
+    Duration budget {}; ///< The sidecar refuses if the prefill can't end within this.
     std::uint32_t promptTokens = 0;
-    std::uint32_t cachedTokens = 0; ///< The gateway's guess of what the engine's cache holds.
+    std::uint32_t cachedTokens = 0; ///< The gateway's estimate of the prompt tokens that the engine has cached.
     std::string path;
     std::string body;
     MSGPACK_DEFINE(request, attempt, sequence, priority, budget, promptTokens, cachedTokens, path, body)
 };
 
-/// Uses a granted slot; without a grant it is taken only if a slot is likely to be free in time.
+/// Uses a granted slot. Without a grant it is admitted only if a slot is likely to be free in time.
 struct DecodeRequest {
     RequestId request;
     Attempt attempt;
     std::uint64_t sequence = 0;
     Priority priority = Priority::Normal;
-    Duration budget {}; ///< The longest wait for the slot; the prefill's result lives no longer.
-    Duration targetWait {}; ///< The longest wait that still meets the target; later, others go first.
+    Duration budget {}; ///< The longest wait for the slot: the prefill's result expires after it.
+    Duration targetWait {}; ///< The longest wait that still meets the latency target; after it, other requests are served first.
     std::uint32_t promptTokens = 0;
     std::uint32_t maxTokens = 0;
     std::string path;
@@ -220,11 +220,11 @@
     RequestId request;
     Attempt attempt;
     std::uint64_t sequence = 0;
-    PeerId incarnation; ///< The sidecar run that it is meant for; any other refuses it.
+    PeerId incarnation; ///< The incarnation of the sidecar that it is addressed to; any other one refuses it.
     Priority priority = Priority::Normal;
     Duration budget {};
     bool repeatable = true;
-    std::string key; ///< The ledger key, or empty.
+    std::string key; ///< The idempotency key in the ledger; empty: none.
     std::string method;
     std::string target;
     HeaderList headers;
@@ -232,14 +232,14 @@
     MSGPACK_DEFINE(request, attempt, sequence, incarnation, priority, budget, repeatable, key, method, target, headers, body)
 };
 
-/// The caller has gone or the attempt is given up: release all that it holds.
+/// The caller disconnected or the attempt was abandoned: the sidecar releases all its resources.
 struct Cancel {
     RequestId request;
     Attempt attempt;
     MSGPACK_DEFINE(request, attempt)
 };
 
-/// Asks what became of (key, attempt), and forbids its admission from now on if it was never admitted.
+/// Queries the state of (key, attempt) and, if it was never admitted, seals it: the sidecar will not admit it from now on.
 struct Seal {
     RequestId request;
     std::string key;
@@ -249,11 +249,11 @@
 
 // --- Any process and controllers --------------------------------------------------------------------------------
 
-/// Writes an intent to run a keyed request. Accepted only if the key is new, or if `attempt` is exactly one more than
-/// the recorded attempt and that one was sealed unadmitted.
+/// Records the intent to run a request with an idempotency key, before it is sent. Accepted only if the key is new, or if
+/// `attempt` is exactly one more than the recorded attempt and that one was sealed without having been admitted.
 struct IntentCommand {
     std::string key;
-    std::uint64_t fingerprint = 0; ///< Hash of method, target and body: a key reused for other content is refused.
+    std::uint64_t fingerprint = 0; ///< Hash of method, target and body: reuse of a key for other content is refused.
     Attempt attempt;
     PeerId sidecar;
     RequestId request;
@@ -268,51 +268,51 @@
     MSGPACK_DEFINE(key, attempt, state, answer)
 };
 
-/// A change of configuration: entries to set and to remove.
+/// A configuration change: entries to set and to remove.
 struct ConfigCommand {
-    std::uint64_t number = 0; ///< The operator's number: must be above the last accepted one.
-    std::string changeId; ///< Unique for the change: a resend is recognised by it.
+    std::uint64_t number = 0; ///< Chosen by the operator; must be higher than the last accepted one.
+    std::string changeId; ///< Unique for each change, to detect resends.
     std::string author;
     std::map<std::string, std::string> puts;
     std::vector<std::string> removes;
     MSGPACK_DEFINE(number, changeId, author, puts, removes)
 };
 
-/// Takes the next fencing token for orders to one upstream.
+/// Allocates the next fencing token for orders to one upstream.
 struct FenceCommand {
     std::string upstream;
     std::string orderId;
     MSGPACK_DEFINE(upstream, orderId)
 };
 
-/// The entry that a new leader commits first, so that entries of earlier terms commit with it.
+/// The first entry of a new leader's term: committing it commits the entries of earlier terms.
 struct NoopCommand {
     std::uint64_t unused = 0;
     MSGPACK_DEFINE(unused)
 };
 
-/// Replaces the disk that counts for a controller after the old one was lost. It votes again once committed.
+/// Registers a new disk for a controller that lost its old one. The controller votes again once this is committed.
 struct ReplaceDiskCommand {
     std::string name;
     DiskId disk;
-    std::string zone {}; ///< Where the controller is, so that a leader that never met it can spread the members; empty: not known.
+    std::string zone {}; ///< For a leader that was never linked to the controller and spreads members over zones; empty: unknown.
     MSGPACK_DEFINE(name, disk, zone)
 };
 
-/// Replaces the whole routing document, if `version` is above the one in force. The text is as its author sent it: whole, or as a
-/// change of the document that was in force where it was proposed.
+/// Replaces the routing document, if `version` is higher than the active one. It holds the text as its author sent it: in full, or as
+/// a delta to the document that was active where it was proposed.
 struct DocumentCommand {
     std::uint64_t version = 0;
-    std::string text; ///< Empty if there is a base.
+    std::string text; ///< Empty if `base` is set.
     std::uint64_t base = 0; ///< The version that `change` applies to; zero: none.
     TextChange change {};
     MSGPACK_DEFINE(version, text, base, change)
 
-    /// Bytes that it takes, about.
+    /// Approximate size in bytes.
     [[nodiscard]] std::size_t size() const { return text.size() + change.size(); }
 };
 
-/// The members that vote from this entry on. At most one is added or removed by one entry.
+/// The voting members from this entry on. One entry adds or removes at most one.
 struct MembersCommand {
     std::vector<std::string> names;
     MSGPACK_DEFINE(names)
@@ -321,7 +321,7 @@
 using Command = std::variant<NoopCommand, ConfigCommand, IntentCommand, OutcomeCommand, FenceCommand, ReplaceDiskCommand, DocumentCommand,
     MembersCommand>;
 
-/// Asks a controller to commit a command. `proposal` pairs the reply.
+/// Asks a controller to commit a command. The reply repeats `proposal`.
 struct Propose {
     std::uint64_t proposal = 0;
     Command command;
@@ -332,7 +332,7 @@
 template <> struct WireEnum<LedgerState> : WireEnumUpTo<LedgerState::Mismatch> {
 };
 
-/// What a keyed request's ledger entry says.
+/// The ledger entry of a request with an idempotency key.
 struct LedgerView {
     LedgerState state = LedgerState::None;
     Attempt attempt;
@@ -347,30 +347,30 @@
     std::uint64_t proposal = 0;
     ResultCode code = ResultCode::Ok;
     std::string text;
-    PeerId leader; ///< With ConfigUnavailable: who to ask instead, if known.
-    std::uint64_t number = 0; ///< Config: the version; fence: the token.
+    PeerId leader; ///< With ConfigUnavailable: the controller to ask instead, if known.
+    std::uint64_t number = 0; ///< For ConfigCommand the version, for FenceCommand the token.
     LedgerView ledger;
     MSGPACK_DEFINE(proposal, code, text, leader, number, ledger)
 };
 
-/// Asks to follow the configuration from `have` on.
+/// Subscribes to configuration changes after `version`.
 struct Watch {
     ConfigVersion version;
     MSGPACK_DEFINE(version)
 };
 
-/// The step from version `from` to `to`; `from` zero means a whole snapshot.
+/// The changes from version `from` to `to`; a `from` of zero means a full snapshot.
 struct ConfigDelta {
     ConfigVersion from;
     ConfigVersion to;
     std::uint64_t number = 0;
     std::map<std::string, std::string> puts;
     std::vector<std::string> removes;
-    bool confirmed = false; ///< A majority confirmed at the time that nothing newer had been accepted.
+    bool confirmed = false; ///< A majority confirmed when this was sent that nothing newer had been accepted.
     MSGPACK_DEFINE(from, to, number, puts, removes, confirmed)
 };
 
-/// A watcher's report of what is in force at it.
+/// A subscriber reports the configuration version that it has applied.
 struct ConfigApplied {
     ConfigVersion version;
     MSGPACK_DEFINE(version)
@@ -407,7 +407,7 @@
     std::uint64_t previousIndex = 0;
     std::uint64_t previousTerm = 0;
     std::uint64_t commit = 0;
-    std::uint64_t round = 0; ///< Names the heartbeat round, for linearizable reads and check-quorum.
+    std::uint64_t round = 0; ///< The number of the heartbeat round, for linearizable reads and check-quorum.
     std::vector<LogEntry> entries;
     MSGPACK_DEFINE(term, previousIndex, previousTerm, commit, round, entries)
 };
@@ -415,14 +415,14 @@
 struct AppendReply {
     std::uint64_t term = 0;
     bool accepted = false;
-    std::uint64_t match = 0; ///< Accepted: the last index that is durable here. Else: a hint where to try.
+    std::uint64_t match = 0; ///< If accepted: the last index that is durable here. Else: a hint for the next `previousIndex`.
     std::uint64_t round = 0;
     DiskId disk;
-    bool isVoter = false; ///< The sender knows that the log has registered its disk.
+    bool isVoter = false; ///< Whether the sender knows that its disk is registered in the log.
     MSGPACK_DEFINE(term, accepted, match, round, disk, isVoter)
 };
 
-/// A piece of a snapshot; `done` marks the last one.
+/// A chunk of a snapshot; `done` marks the last one.
 struct SnapshotChunk {
     std::uint64_t term = 0;
     std::uint64_t lastIndex = 0;
@@ -433,7 +433,7 @@
     MSGPACK_DEFINE(term, lastIndex, lastTerm, offset, bytes, done)
 };
 
-/// How much of the snapshot that ends at `lastIndex` has come.
+/// How many bytes of the snapshot that ends at `lastIndex` have been received.
 struct SnapshotReply {
     std::uint64_t term = 0;
     std::uint64_t lastIndex = 0;
@@ -442,14 +442,14 @@
     MSGPACK_DEFINE(term, lastIndex, received, disk)
 };
 
-// --- Where gateways call upstreams themselves ------------------------------------------------------------------------
+// --- Replicas that gateways call directly ------------------------------------------------------------------------------
 
 enum class ReplicaState : std::uint8_t { Ready, Draining };
 template <> struct WireEnum<ReplicaState> : WireEnumUpTo<ReplicaState::Draining> {
 };
 
-/// What a replica says of itself. After a restart it comes under another id or, with a later start, under its own; also at the same
-/// address.
+/// A replica's announcement of itself. After a restart it announces another id, or its former id with a later start; its address may be
+/// the same as before.
 struct Announcement {
     std::string id;
     std::string service;
@@ -459,21 +459,21 @@
     std::uint32_t slots = 0;
     ReplicaState state = ReplicaState::Ready;
     UpstreamKind kind = UpstreamKind::Plain;
-    Duration coldLeft {}; ///< It stays slow for this long after its start.
-    std::uint64_t sequence = 0; ///< Orders the announcements of one run: a late one is older than what is known.
+    Duration coldLeft {}; ///< How much longer it is slowed down by its cold start.
+    std::uint64_t sequence = 0; ///< Increases with each announcement of a run, so that late ones can be ignored.
     ReplicaStart start {};
     [[nodiscard]] ReplicaRun run() const { return { id, start }; }
     MSGPACK_DEFINE(id, service, address, zone, softwareVersion, slots, state, kind, coldLeft, sequence, start)
 };
 
-/// A replica's announcement, passed on by the controller that received it or heard of it.
+/// A replica's announcement, relayed by the controller that received it or learned of it.
 struct RelayedAnnouncement {
     Announcement announcement;
-    Duration age {}; ///< Since it was received.
+    Duration age {}; ///< Since it was received from the replica.
     MSGPACK_DEFINE(announcement, age)
 };
 
-/// This run of the replica has ended and never comes back, nor do those before it.
+/// This run of the replica has ended for good, and so have all earlier ones.
 struct ReplicaWithdrawn {
     std::string id;
     ReplicaStart start {};
@@ -481,49 +481,50 @@
     MSGPACK_DEFINE(id, start)
 };
 
-/// Renews the replicas' runs, and says how many gateways share the retry budget. It goes over every link once a second, so to gateways it
-/// names only the runs that were not heard of lately; a gateway that knows the same runs, by the digest, renews all others. The starts are
-/// told as their distance from the earliest of them: 5 bytes a replica, and not 10, for replicas that started within 49 days of each other.
+/// Renews the replicas' runs, and states how many gateways share the retry budget. It is sent over every link once a second. To keep it
+/// small, a heartbeat to a gateway lists only the runs that were not heard from recently; a gateway whose digest is the same renews all
+/// others. Start times are sent as offsets from the earliest one: 5 bytes for each replica instead of 10, as long as they started within
+/// 49 days of each other.
 struct RegistryHeartbeat {
-    std::map<std::string, Duration> ages; ///< Since each run was heard of, by id.
+    std::map<std::string, Duration> ages; ///< Time since each run was last heard from, by id.
     std::uint32_t gateways = 0;
     ReplicaStart earliestStart {};
-    std::vector<std::uint64_t> startOffsets {}; ///< In the order of `ages`: milliseconds from `earliest` to the run's start.
-    std::uint64_t digest = 0; ///< Of what the sender knows of all replicas; zero from a release that does not say.
-    std::uint32_t known = 0; ///< How many replicas these are.
+    std::vector<std::uint64_t> startOffsets {}; ///< Milliseconds from `earliestStart` to each run's start, in the order of `ages`.
+    std::uint64_t digest = 0; ///< Of all replicas in the sender's registry; zero from releases without this field.
+    std::uint32_t known = 0; ///< The number of replicas in the sender's registry.
     MSGPACK_DEFINE(ages, gateways, earliestStart, startOffsets, digest, known)
 };
 
-/// How many replicas' worth of work one gateway has kept a service's engines busy with, on average since its last report.
+/// The load that one gateway put on a service's engines, in number of busy replicas of each stage, on average since its last report.
 struct StageLoad {
     double prefill = 0;
     double decode = 0;
-    Duration stageChange {}; ///< A replica that changes its stage is away for this long.
+    Duration stageChange {}; ///< How long a replica is unavailable while it changes its stage.
     MSGPACK_DEFINE(prefill, decode, stageChange)
 };
 
-/// From a gateway to controllers, once a second while there is such work; by service.
+/// From a gateway to controllers, once a second while there is work for engines. By service.
 struct EngineLoadReport {
     std::map<std::string, StageLoad> services;
     MSGPACK_DEFINE(services)
 };
 
-/// A replica was ordered to change its stage. It takes no work until it announces the new one.
+/// A replica was ordered to change its stage. It accepts no work until it announces the new one.
 struct StageChange {
     std::string id;
     UpstreamKind to = UpstreamKind::Decode;
-    Duration lasts {}; ///< From now on, at most.
-    ReplicaStart start {}; ///< Of the run that was ordered.
+    Duration lasts {}; ///< The longest time that the change can still take.
+    ReplicaStart start {}; ///< Of the run that received the order.
     MSGPACK_DEFINE(id, to, lasts, start)
 };
 
-/// Asks a controller for all that it knows of replicas, as the digests differ.
+/// Asks a controller for its whole replica registry, since the digests differ.
 struct RegistryRequest {
-    std::uint64_t digest = 0; ///< Of what the sender knows.
+    std::uint64_t digest = 0; ///< Of the sender's registry.
     MSGPACK_DEFINE(digest)
 };
 
-/// All that a controller knows of replicas.
+/// A controller's whole replica registry.
 struct RegistryList {
     std::vector<RelayedAnnouncement> known;
     std::vector<StageChange> changing;
@@ -531,20 +532,20 @@
     MSGPACK_DEFINE(known, changing, ended)
 };
 
-/// A controller holds this version of the routing document; gateways ask one of those that offer it.
+/// A controller has this version of the routing document; a gateway requests it from one of those that offer it.
 struct DocumentOffer {
     std::uint64_t version = 0;
-    bool isCurrent = false; ///< The controller hears a leader and has applied all that this one has committed.
+    bool isCurrent = false; ///< The controller is in contact with a leader and has applied everything that the leader has committed.
     MSGPACK_DEFINE(version, isCurrent)
 };
 
-/// The peer addresses of all controllers that the sender knows.
+/// The peer addresses of all controllers known to the sender.
 struct ControllerRoster {
     std::vector<std::string> addresses;
     MSGPACK_DEFINE(addresses)
 };
 
-/// Asks the leader for the index that a linearizable read must have applied.
+/// Asks the leader for the log index that must be applied before a linearizable read.
 struct ReadIndex {
     std::uint64_t ticket = 0;
     MSGPACK_DEFINE(ticket)
@@ -557,35 +558,35 @@
     MSGPACK_DEFINE(ticket, isConfirmed, index)
 };
 
-/// Asks a controller for what leads from the version that a gateway holds to `version`.
+/// Asks a controller for the changes from the version that the gateway has to `version`.
 struct DocumentRequest {
     std::uint64_t version = 0;
-    std::uint64_t held = 0; ///< Zero: none.
-    std::uint64_t offset = 0; ///< Bytes that have come already.
+    std::uint64_t held = 0; ///< The version that the gateway has; zero: none.
+    std::uint64_t offset = 0; ///< Bytes received so far.
     MSGPACK_DEFINE(version, held, offset)
 };
 
-/// A part of the steps (DocumentStep) from `base` to `version`.
+/// A chunk of the serialized changes (DocumentStep) from `base` to `version`.
 struct DocumentPart {
     std::uint64_t version = 0;
     std::uint64_t base = 0;
     std::uint64_t offset = 0;
-    std::uint64_t total = 0; ///< Bytes of all parts.
+    std::uint64_t total = 0; ///< Bytes of all chunks together.
     std::string bytes;
     MSGPACK_DEFINE(version, base, offset, total, bytes)
 };
 
-// --- Where a sidecar watches the memory of an engine that gateways call themselves ------------------------------------
+// --- Admission to the KV memory of engines that gateways call directly -------------------------------------------------
 
-/// From a gateway to a sidecar: asks for a slot and memory at its engine.
+/// From a gateway to a sidecar: requests a slot and KV memory of its engine.
 struct ReservationRequest {
     RequestId request;
     Attempt attempt;
-    std::string run; ///< What the engine will call the request.
+    std::string run; ///< The engine's id for the request.
     std::uint32_t promptTokens = 0;
-    std::uint32_t expectedTokens = 0; ///< Of the answer, as its caller expects.
-    std::uint32_t maxTokens = 0; ///< Of the answer, at most.
-    std::uint32_t slots = 0; ///< Requests that the engine runs at once.
+    std::uint32_t expectedTokens = 0; ///< Answer length that the caller expects.
+    std::uint32_t maxTokens = 0; ///< Upper limit of the answer length.
+    std::uint32_t slots = 0; ///< The engine's limit of concurrent requests.
     MSGPACK_DEFINE(request, attempt, run, promptTokens, expectedTokens, maxTokens, slots)
 };
 
@@ -593,19 +594,19 @@
     RequestId request;
     Attempt attempt;
     bool isGranted = false;
-    std::uint64_t headroom = 0; ///< As in EngineHeadroom, with this reservation counted.
+    std::uint64_t headroom = 0; ///< As in EngineHeadroom, after this reservation.
     MSGPACK_DEFINE(request, attempt, isGranted, headroom)
 };
 
-/// From a gateway: the request has ended at the engine, or will not go there.
+/// From a gateway to a sidecar: the request has ended at the engine, or will not be sent there.
 struct ReservationEnd {
     RequestId request;
-    bool isComplete = false; ///< Its answer came to its end.
-    bool hasFailed = false; ///< It was sent there and nothing came of it.
+    bool isComplete = false; ///< Its answer was received in full.
+    bool hasFailed = false; ///< It was sent to the engine and failed there.
     MSGPACK_DEFINE(request, isComplete, hasFailed)
 };
 
-/// From a gateway to a sidecar: a prefill was sent to its engine, or has ended there.
+/// From a gateway to a sidecar: a prefill was sent to the engine, or has ended there.
 struct PrefillNotice {
     RequestId request;
     std::uint32_t promptTokens = 0;
@@ -613,35 +614,35 @@
     MSGPACK_DEFINE(request, promptTokens, hasEnded)
 };
 
-/// From a sidecar to all gateways.
+/// From a sidecar to all gateways: how much work its engine can still take.
 struct EngineHeadroom {
     std::string address; ///< The engine's.
-    std::uint64_t tokens = 0; ///< That its KV memory can take beyond what its answers are expected to need; zero: it takes no request.
-    std::uint64_t prefillBacklog = 0; ///< Tokens of the prompts that were sent there and are not read yet.
+    std::uint64_t tokens = 0; ///< Free KV memory beyond the forecast need of running answers; zero: it takes no request.
+    std::uint64_t prefillBacklog = 0; ///< Prompt tokens that were sent to the engine and are not prefilled yet.
     MSGPACK_DEFINE(address, tokens, prefillBacklog)
 };
 
-// --- Requests that crash the replicas which run them ------------------------------------------------------------------
+// --- Requests that crash replicas --------------------------------------------------------------------------------------
 
-/// The replica crashed while it worked on the request, as far as the sender can tell.
+/// According to the sender, the replica crashed while it was processing the request.
 struct ReplicaCrash {
     RequestFingerprint request;
     std::string replica;
     ReplicaStart start {}; ///< Of the replica's run.
-    Duration age {}; ///< Since then.
+    Duration age {}; ///< Since the crash.
     Duration ranFor {}; ///< From the sending of the request to the crash.
     [[nodiscard]] ReplicaRun run() const { return { replica, start }; }
     MSGPACK_DEFINE(request, replica, start, age, ranFor)
 };
 
-/// The request was answered whole: what crashed under it before did not crash of it.
+/// The request was answered in full, so it did not cause the earlier crashes.
 struct ServedAfterCrash {
     RequestFingerprint request;
     Duration age {}; ///< Since the answer.
     MSGPACK_DEFINE(request, age)
 };
 
-/// From gateways to controllers, between controllers, and from these to gateways.
+/// From gateways to controllers, between controllers, and from controllers to gateways.
 struct CrashReport {
     std::vector<ReplicaCrash> crashes;
     std::vector<ServedAfterCrash> served;
@@ -649,48 +650,48 @@
     MSGPACK_DEFINE(crashes, served)
 };
 
-// --- What client accounts use of their limits -------------------------------------------------------------------------
+// --- Quotas of client accounts -----------------------------------------------------------------------------------------
 
-/// What one gateway has admitted for an account since it reported last; negative where more was given back.
+/// What one gateway has admitted for an account since its last report; `amount` is negative if more was refunded than admitted.
 struct AccountUsage {
     AccountId account;
     double amount = 0;
     double perSecond = 0; ///< The account's limit.
-    bool asksForTotal = false; ///< The gateway uses more than it may without hearing of the others.
-    double reservedPerSecond = 0; ///< Of the limit, as this gateway was told last.
+    bool asksForTotal = false; ///< The gateway uses more than it may without knowing the other gateways' usage.
+    double reservedPerSecond = 0; ///< Part of the limit set aside for gateways that don't report, as last received.
     MSGPACK_DEFINE(account, amount, perSecond, asksForTotal, reservedPerSecond)
 };
 
-/// Gateways that share the limits, as one controller sees them.
+/// The gateways that share the limits, as seen by one controller.
 struct GatewayCounts {
     std::uint32_t all = 0;
-    std::uint32_t notReporting = 0; ///< Of these; a part of each limit is set aside for them.
+    std::uint32_t notReporting = 0; ///< Of these, the ones without a report to the controller; part of each limit is set aside for them.
     MSGPACK_DEFINE(all, notReporting)
 };
 
-/// From a gateway to all controllers: soon after it has used much, and twice a second.
+/// From a gateway to all controllers, twice a second and soon after heavy use.
 struct QuotaReport {
     std::vector<AccountUsage> uses;
-    bool wantsTotals = false; ///< The gateway goes by this controller's totals.
-    bool asksForAll = false; ///< It does not know which accounts are busy.
-    GatewayCounts knownGateways; ///< By the controller whose totals it went by last, for one that has just started.
+    bool wantsTotals = false; ///< The gateway uses this controller's totals.
+    bool asksForAll = false; ///< The gateway doesn't know which accounts are near their limits.
+    GatewayCounts knownGateways; ///< From the totals that the gateway used last, for a controller that has just started.
     MSGPACK_DEFINE(uses, wantsTotals, asksForAll, knownGateways)
 };
 
-/// What all other gateways have used.
+/// What all other gateways have used of an account's limit.
 struct AccountTotal {
     AccountId account;
-    double othersUsage = 0; ///< Since the last time that this gateway was told, or of the last moments if that is longer ago.
+    double othersUsage = 0; ///< Since the last total sent to this gateway, or over a short recent period if that is longer ago.
     double othersPerSecond = 0;
-    double reservedPerSecond = 0; ///< Of the limit, for gateways that the sender does not hear.
-    bool isBusy = false; ///< More will be told soon.
+    double reservedPerSecond = 0; ///< Part of the limit set aside for gateways that don't report to the sender.
+    bool isBusy = false; ///< The account is near its limit; further totals follow soon.
     MSGPACK_DEFINE(account, othersUsage, othersPerSecond, reservedPerSecond, isBusy)
 };
 
-/// From a controller to the gateways that go by its totals, while accounts are near their limits.
+/// From a controller to the gateways that use its totals, while accounts are near their limits.
 struct QuotaTotals {
     std::vector<AccountTotal> totals;
-    bool isComplete = false; ///< No other account is busy.
+    bool isComplete = false; ///< No account outside `totals` is near its limit.
     GatewayCounts gateways;
     MSGPACK_DEFINE(totals, isComplete, gateways)
 };
--- a/src/message/MsgpackAdaptors.h
+++ b/src/message/MsgpackAdaptors.h
@@ -1,9 +1,9 @@
 /** \file
- * Teaches msgpack what it doesn't know: durations, enumerations as their numbers, and std::variant as `[index, value]`.
+ * Adaptors for types that msgpack doesn't support: durations, enumerations (as their numbers) and std::variant (as `[index, value]`).
  *
- * The index is the position among the alternatives, so new alternatives go to the end. A number that an enumeration doesn't have, or
- * a span of time that a clock can't take, makes the whole value unreadable: cast unseen, a code of a later release ended the process
- * where its name was looked up.
+ * The index is the position among the alternatives, so new alternatives are added at the end. A value is rejected as a whole if it
+ * contains an enumeration number that isn't defined or a duration out of range: when numbers were cast without a check, a code of a
+ * later release crashed the process where its name was looked up.
  */
 #pragma once
 
@@ -15,15 +15,16 @@
 
 namespace wrenhinge {
 
-/// Specialised for each enumeration that travels. `isKnown(n)` tells whether it has the number.
+/// Specialised for each enumeration in messages. `isKnown(n)` returns whether it has an enumerator with this number.
 template <typename E> struct WireEnum;
 
-/// For one whose numbers go from 0 to that of `last`.
+/// For an enumeration whose numbers are 0 to that of `last`.
 template <auto last> struct WireEnumUpTo {
     static bool isKnown(std::int64_t n) { return n >= 0 && n <= static_cast<std::int64_t>(last); }
 };
 
-/// Longer ones are no measurement of anything; instants reach some hundred times as far, so that sums of several still fit.
+/// The longest duration that is accepted: longer ones can't be real measurements. The range of `Instant` is some hundred times as large,
+/// so that sums of several still fit.
 inline constexpr Duration maxWireDuration = std::chrono::hours(24 * 365 * 100);
 
 } // namespace wrenhinge
@@ -76,7 +77,7 @@
             }
         };
 
-        /// Unpacks `[index, value]`; an unknown index throws type_error, which the decoder turns into "no message".
+        /// Unpacks `[index, value]`. An unknown index throws type_error, which makes `decode` return nothing.
         template <typename... Ts> struct convert<std::variant<Ts...>> {
             const msgpack::object& operator()(const msgpack::object& o, std::variant<Ts...>& v) const
             {
--- a/src/message/PeerEvents.h
+++ b/src/message/PeerEvents.h
@@ -1,5 +1,5 @@
 /** \file
- * What every role hears of its links. The same three events enter all state machines.
+ * The events of links to peers, which are the same three for the state machines of all roles.
  */
 #pragma once
 
@@ -7,15 +7,15 @@
 
 namespace wrenhinge {
 
-/// A link to a peer is up; this is its introduction.
+/// A link to a peer was established; `peer` is what it said of itself.
 struct PeerUp {
     Hello peer;
 };
-/// The link to a peer is gone, and with it whatever was under way on it.
+/// The link to a peer was lost, with all messages that were in flight.
 struct PeerDown {
     PeerId peer;
 };
-/// A message of a peer, in the order in which it sent them.
+/// A message from a peer. Messages are received in the order in which the peer sent them.
 struct PeerMessage {
     PeerId peer;
     Message message;
--- a/src/message/TextChange.h
+++ b/src/message/TextChange.h
@@ -1,9 +1,9 @@
 /** \file
- * How one text becomes a later one: which parts stay, and which bytes are new.
+ * Delta encoding of texts: which parts of the old text to copy, and which bytes to insert.
  *
- * A routing document of thousands of routes changes by a few hundred bytes at a time. Kept, stored and sent as a change, it costs
- * these; as a text, each change costs the whole document for each process that holds it. Example: "a=1 b=2 c=3" becomes
- * "a=1 b=7 c=3" by [keep 6 bytes from 0, add "7"], [keep 4 bytes from 7, add nothing].
+ * A routing document of thousands of routes changes by a few hundred bytes at a time. As a delta, a change takes about that much
+ * memory, disk space and bandwidth; as a full text, each change costs the whole document at every process that holds it.
+ * Example: "a=1 b=2 c=3" becomes "a=1 b=7 c=3" by [copy 6 bytes from 0, insert "7"], [copy 4 bytes from 7, insert nothing].
  */
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace wrenhinge {
 
-/// Bytes of the former text, followed by new ones.
+/// A range of the old text to copy, followed by bytes to insert.
 struct TextPiece {
     std::uint64_t from = 0;
     std::uint64_t length = 0;
@@ -26,20 +26,20 @@
 
 struct TextChange {
     std::vector<TextPiece> pieces;
-    std::uint64_t checksum = 0; ///< Of the later text: a change of another text than the one it was made for must not pass.
+    std::uint64_t checksum = 0; ///< XXH64 of the new text, so that a delta applied to the wrong text is detected.
     MSGPACK_DEFINE(pieces, checksum)
 
-    /// Bytes that it takes, about.
+    /// Approximate size in bytes.
     [[nodiscard]] std::size_t size() const;
 };
 
-/// The change from `former` to `text`. Time: linear in both, some ms for a megabyte.
-TextChange changeBetween(std::string_view former, std::string_view text);
+/// The delta from `oldText` to `newText`. Linear time in both: a few milliseconds for a megabyte.
+TextChange changeBetween(std::string_view oldText, std::string_view newText);
 
-/// A change that keeps nothing.
+/// A delta that copies nothing, so that it applies to any text.
 TextChange wholeText(std::string text);
 
-/// The later text, or nothing if `change` was not made for this one.
-std::optional<std::string> applyChange(std::string_view former, const TextChange& change);
+/// The new text, or nothing if `change` was made for another text than `oldText`.
+std::optional<std::string> applyChange(std::string_view oldText, const TextChange& change);
 
 } // namespace wrenhinge
