--- a/src/base/EventCode.h
+++ b/src/base/EventCode.h
@@ -1,8 +1,8 @@
 /** \file
- * The numbered log events. docs/EVENTS.md is their catalogue; a test compares the two.
+ * The numbered log events. docs/EVENTS.md lists them; a test compares the two.
  *
- * Logs, the time line and metrics name events by these numbers, so that an operator's alert keeps its meaning when a
- * wording changes. Never reuse or renumber one.
+ * Logs, the time line and metrics identify events by these numbers, so that an operator's alerts keep working when a text
+ * changes. Never reuse or renumber one.
  */
 #pragma once
 
@@ -87,14 +87,14 @@
     std::string_view name;
 };
 
-/// All events, in order of their numbers.
+/// All events, ordered by number.
 std::span<const EventRow> allEvents();
 std::string_view nameOf(EventCode);
 
-/// Something worth a line in the log and on the time line; the state machines return it as an effect.
+/// An entry for the log and the time line. State machines return it as an effect.
 struct LogEvent {
     EventCode code;
-    RequestId request; ///< Sequence zero: not about a request.
+    RequestId request; ///< A sequence of zero: not related to a request.
     std::string text;
 };
 
--- a/src/base/HybridClock.h
+++ b/src/base/HybridClock.h
@@ -1,8 +1,8 @@
 /** \file
- * A hybrid logical clock: timestamps near wall time that never contradict cause and effect.
+ * A hybrid logical clock: timestamps close to wall-clock time that preserve causal order.
  *
- * Each event on the time line carries one. A message's receipt is always stamped later than its sending, even when
- * the receiver's wall clock lags, so the merged time line of all processes never shows an answer before its question.
+ * Each event on the time line has one. The receipt of a message is always stamped later than its sending, even if the
+ * receiver's wall clock lags, so that the merged time line of all processes never shows a reply before its request.
  */
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace wrenhinge {
 
-/// Wall time in microseconds since 1970, and a counter that orders events within it.
+/// Wall-clock time in microseconds since 1970, and a counter that orders events with the same time.
 struct HybridTime {
     std::uint64_t wallMicros = 0;
     std::uint32_t logical = 0;
@@ -20,9 +20,9 @@
 
 class HybridClock {
 public:
-    /// The stamp of a local event or a sending.
+    /// Returns the timestamp of a local event or of a message to send.
     HybridTime tick(std::uint64_t wallMicros);
-    /// Takes note of a stamp that came with a message, then stamps its receipt.
+    /// Advances the clock past the timestamp of a received message. \returns the timestamp of its receipt.
     HybridTime receive(HybridTime remote, std::uint64_t wallMicros);
 
 private:
--- a/src/base/Ids.h
+++ b/src/base/Ids.h
@@ -1,7 +1,7 @@
 /** \file
- * Strong types for identities and units, so that a slot count can't be passed where an attempt is meant.
+ * Strong types for ids, so that, for example, a slot count can't be passed as an attempt.
  *
- * Each id is a distinct type over an integer; it compares, hashes and travels in messages, but never converts.
+ * Each id is a distinct integer type. Ids can be compared, hashed and serialized, but don't convert implicitly.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace wrenhinge {
 
-/// An integer that is distinct by its tag. \tparam Tag an empty struct that names the meaning.
+/// An integer type that is distinct for each tag. \tparam Tag an empty struct that names the kind of id.
 template <typename Tag> class StrongId {
 public:
     constexpr StrongId() = default;
@@ -30,31 +30,31 @@
     std::uint64_t m_value = 0;
 };
 
-/// One run of one process: drawn afresh at each start, so a restarted process is a different peer.
+/// One run of a process. A new random id is generated at each start, so a restarted process is a different peer.
 using PeerId = StrongId<struct PeerTag>;
-/// The n-th try to serve one request, counted by its gateway; late answers of an earlier try are dropped by it.
+/// The number of an attempt to serve a request, counted by its gateway, so that late replies to earlier attempts can be dropped.
 using Attempt = StrongId<struct AttemptTag>;
 /// A call from a sidecar to its upstream, unique within the sidecar.
 using CallId = StrongId<struct CallTag>;
 /// A version of the configuration: the log index that committed it.
 using ConfigVersion = StrongId<struct ConfigVersionTag>;
-/// A fencing token: orders with a lower one than the highest seen are refused.
+/// A fencing token: orders with a lower token than the highest one seen are refused.
 using FencingToken = StrongId<struct FencingTag>;
-/// The identity of a data folder, drawn when it is first made; a controller with a lost disk has another one.
+/// The random id of a data directory, generated when it is created; a controller that lost its disk has another one.
 using DiskId = StrongId<struct DiskTag>;
 
-/// What the same request has in common with itself when its caller sends it again, under whatever id (RequestFingerprint.h).
+/// A hash that is the same whenever a caller sends the same request again, whatever its request id (RequestFingerprint.h).
 using RequestFingerprint = StrongId<struct RequestFingerprintTag>;
 
-/// A client account, as processes name it to each other: a hash of its name.
+/// A client account in messages: a hash of its name.
 using AccountId = StrongId<struct AccountTag>;
 
-/// When a replica started: Unix milliseconds by its own machine's clock; zero if it does not say.
+/// When a replica started: Unix milliseconds by its own machine's clock; zero if not stated.
 using ReplicaStart = StrongId<struct ReplicaStartTag>;
 
-/// One run of a replica. A replica may start again under its id: it then holds and knows nothing of before, and counts anew.
-/// Whatever is believed of a replica is therefore believed of a run. Of two runs with one id the later start is the newer; one
-/// that states no start is older than any that does.
+/// One run of a replica. A replica can restart under the same id: it has then lost all its state, and its counters start again.
+/// State about a replica is therefore kept by run. Of two runs with the same id, the one with the later start is newer; a run
+/// without a start time is older than any run that has one.
 struct ReplicaRun {
     std::string id;
     ReplicaStart start;
@@ -63,7 +63,7 @@
     [[nodiscard]] bool isBefore(const ReplicaRun& other) const { return id == other.id && start < other.start; }
 };
 
-/// A request, unique over all gateways and their restarts: the gateway's incarnation and its own count.
+/// A request id, unique over all gateways and their restarts: the gateway's incarnation and its request counter.
 struct RequestId {
     PeerId origin;
     std::uint64_t sequence = 0;
@@ -71,7 +71,7 @@
     MSGPACK_DEFINE(origin, sequence)
 };
 
-/// The text form `<origin in hex>-<sequence>`, as it stands in logs, headers and `wrenhinge request explain`.
+/// Formats as `<origin in hex>-<sequence>`, as in logs, headers and `wrenhinge request explain`.
 std::string toString(const RequestId&);
 std::string toString(PeerId);
 /// 16 hexadecimal digits.
--- a/src/base/ResultCode.h
+++ b/src/base/ResultCode.h
@@ -1,8 +1,8 @@
 /** \file
  * The numbered result codes of wrenhinge and the error type that carries them.
  *
- * Callers, operators and peers see the same number for the same cause; docs/ERRORS.md has the table. A user
- * error names what the user should change. An internal error is our bug and goes through `internalError`.
+ * Callers, operators and peers see the same number for the same cause; docs/ERRORS.md lists them. The message of a user
+ * error says what the user should change. An internal error is a bug in wrenhinge and is raised by `internalError`.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace wrenhinge {
 
-/// The numbers are part of the interface: never reuse or renumber one.
+/// The numbers are part of the public interface: never reuse or renumber one.
 enum class ResultCode : int {
     Ok = 0,
     // 1xx: the caller should change the request.
@@ -28,7 +28,7 @@
     KeyReused = 104,
     HeaderTooLarge = 105,
     RequestTimeout = 106,
-    // 2xx: come back later; the request did not run.
+    // 2xx: retry later; the request did not run.
     Overloaded = 200,
     AccountRateLimit = 201,
     AccountConcurrencyLimit = 202,
@@ -57,22 +57,22 @@
     ConnectFailed = 504,
 };
 
-/// All codes, in order of their numbers.
+/// All codes, ordered by number.
 std::vector<ResultCode> allResultCodes();
 
-/// Whether a code has this number. What comes from another process may have one that is not known here.
+/// Whether a code with this number exists. Another process can send a code that this release doesn't have.
 bool isResultCode(std::int64_t number);
 
-/// The stable upper-case name of a code, as logs and JSON give it.
+/// The stable upper-case name of a code, as used in logs and JSON.
 std::string_view nameOf(ResultCode);
 
 /// What a caller may conclude about its request from an error: `not_run`, `in_progress`, `unknown`, `cancelled`, …
 std::string_view outcomeOf(ResultCode);
 
-/// The HTTP status that goes with a code towards callers.
+/// The HTTP status that callers receive with a code.
 int httpStatusOf(ResultCode);
 
-/// An error for the user: the code, one sentence that says what to do, and when to come back where that helps.
+/// A user error: the code, one sentence that says what to do, and when to retry if that helps.
 struct Error {
     ResultCode code = ResultCode::Ok;
     std::string message;
@@ -82,7 +82,7 @@
 /// A value or an Error.
 template <typename T> using Result = BOOST_OUTCOME_V2_NAMESPACE::basic_result<T, Error, BOOST_OUTCOME_V2_NAMESPACE::policy::all_narrow>;
 
-/// Stops the process over a broken internal assumption. For bugs of wrenhinge only, never for input.
+/// Aborts the process because an internal invariant was violated. For bugs in wrenhinge only, never for bad input.
 [[noreturn]] void internalError(std::string_view what);
 
 } // namespace wrenhinge
--- a/src/base/Safeguards.h
+++ b/src/base/Safeguards.h
@@ -1,9 +1,9 @@
 /** \file
- * The safeguards that the invariants rest on, each of which a test can take out to see the invariant break.
+ * The mechanisms that uphold the invariants, each of which a test can disable to see the invariant fail.
  *
- * A test that passes with and without the mechanism it is meant for proves nothing. Scenarios therefore name the
- * safeguard they are about, and a check runs each one again without it and demands that it fails. The daemon always runs
- * with all of them: nothing but tests sets one to false.
+ * A test that passes with and without the mechanism that it covers proves nothing. Each scenario therefore names the
+ * safeguard that it covers, and a check runs it again with the safeguard disabled and requires it to fail. The daemon
+ * always runs with all of them enabled: only tests set one to false.
  */
 #pragma once
 
@@ -11,26 +11,26 @@
 
 struct Safeguards {
     // Sidecar.
-    bool refusesOtherIncarnation = true; ///< A dispatch meant for an earlier run of the sidecar is refused.
-    bool honoursSeals = true; ///< A sealed attempt is never admitted.
-    bool dropsDuplicates = true; ///< A repeated message of a gateway starts nothing.
-    bool releasesForLostGateway = true; ///< What a lost gateway held is released.
-    bool expiresGrants = true; ///< A grant that is not used lapses.
+    bool refusesOtherIncarnation = true; ///< A sidecar refuses a dispatch addressed to an earlier incarnation of it.
+    bool honoursSeals = true; ///< A sidecar never admits a sealed attempt.
+    bool dropsDuplicates = true; ///< A duplicate message from a gateway starts no work.
+    bool releasesForLostGateway = true; ///< The resources of a lost gateway are released.
+    bool expiresGrants = true; ///< A grant that is not used in time expires.
     // Gateway.
-    bool checksAttempts = true; ///< Messages of a former attempt are dropped.
-    bool recordsIntent = true; ///< A keyed call is in the ledger before it is sent.
-    bool neverRepeats = true; ///< A call that may have run and may not be repeated is not sent again.
-    bool expiresLeases = true; ///< An upstream whose lease has run out gets no new work.
-    bool refusesCrashingRequests = true; ///< A request under which three replicas have crashed is not sent to another one.
-    bool cancelsForGoneCaller = true; ///< A caller's leaving is passed on to the sidecars.
-    bool refusesWithoutLedger = true; ///< Without a majority a keyed call is refused, not sent unrecorded.
-    // Controllers and those who follow them.
-    bool countsOnlyKnownDisks = true; ///< A member with a new disk neither votes nor counts until it is registered.
-    bool stepsDownWithoutQuorum = true; ///< A leader that reaches no majority stops leading.
-    bool recognisesResends = true; ///< A change that is sent again gets the first answer.
-    bool refusesEqualNumbers = true; ///< Of two changes with the same number one loses.
+    bool checksAttempts = true; ///< Messages about an earlier attempt are dropped.
+    bool recordsIntent = true; ///< A call with an idempotency key is recorded in the ledger before it is sent.
+    bool neverRepeats = true; ///< A call that may have run and is not repeatable is never sent again.
+    bool expiresLeases = true; ///< An upstream whose lease has expired gets no new work.
+    bool refusesCrashingRequests = true; ///< A request that crashed three replicas is not sent to another one.
+    bool cancelsForGoneCaller = true; ///< When a caller disconnects, its request is cancelled at the sidecars.
+    bool refusesWithoutLedger = true; ///< Without a majority, a call with an idempotency key is refused instead of being sent unrecorded.
+    // Controllers and their followers.
+    bool countsOnlyKnownDisks = true; ///< A member with a new disk neither votes nor counts towards a quorum until it is registered.
+    bool stepsDownWithoutQuorum = true; ///< A leader that can't reach a majority steps down.
+    bool recognisesResends = true; ///< A change that is sent again gets the first reply again.
+    bool refusesEqualNumbers = true; ///< Of two changes with the same number, only one is accepted.
     bool neverStepsBack = true; ///< A follower ignores an older configuration.
-    bool keepsVotes = true; ///< A vote is on disk before it is told.
+    bool keepsVotes = true; ///< A vote is written to disk before it is sent.
 };
 
 } // namespace wrenhinge
--- a/src/base/SecretDigest.h
+++ b/src/base/SecretDigest.h
@@ -1,8 +1,8 @@
 /** \file
- * What is kept of a secret that callers show: its SHA-256.
+ * The SHA-256 digest of a secret that callers present. The secret itself is not stored.
  *
- * A digest can be compared and looked up without telling anything of the secret: how far a guess agrees with a right one shows neither in
- * the digest nor in the time that a look-up takes. It may stand in memory and in dumps where the secret itself must not.
+ * Comparing and looking up digests leaks nothing about the secret: neither a digest nor the time of a look-up shows how close a guess
+ * is. Digests may appear in memory and in dumps, where the secret itself must not.
  */
 #pragma once
 
@@ -24,9 +24,9 @@
     static SecretDigest of(std::string_view secret);
 
     [[nodiscard]] const Bytes& bytes() const { return m_bytes; }
-    /// All of it, in hexadecimal digits.
+    /// All 64 hexadecimal digits.
     [[nodiscard]] std::string hex() const;
-    /// The first digits: enough for an operator to tell two keys apart, too few to be taken for one.
+    /// The first 8 digits: enough for an operator to tell two keys apart, too few to be mistaken for a key.
     [[nodiscard]] std::string shortHex() const;
     auto operator<=>(const SecretDigest&) const = default;
 
--- a/src/base/SettingsNode.cpp
+++ b/src/base/SettingsNode.cpp
@@ -2,15 +2,15 @@
 
 namespace wrenhinge {
 
-void SettingsErrors::add(const YAML::Mark& mark, const std::string& key, const std::string& mend)
+void SettingsErrors::add(const YAML::Mark& mark, const std::string& key, const std::string& hint)
 {
-    lines.push_back(file + ":" + std::to_string(mark.line + 1) + ": " + key + ": " + mend);
+    lines.push_back(file + ":" + std::to_string(mark.line + 1) + ": " + key + ": " + hint);
 }
 
-SettingsNode::SettingsNode(const YAML::Node& node, std::string path, SettingsErrors& mistakes)
+SettingsNode::SettingsNode(const YAML::Node& node, std::string path, SettingsErrors& errors)
     : m_node(node)
     , m_path(std::move(path))
-    , m_mistakes(mistakes)
+    , m_errors(errors)
 {
 }
 
@@ -51,17 +51,17 @@
     bool isMap = has(key) && m_node[key].IsMap();
     if (has(key) && !isMap)
         addError(key, "write a map of keys below it");
-    return { isMap ? m_node[key] : YAML::Node(YAML::NodeType::Map), fullName(key), m_mistakes };
+    return { isMap ? m_node[key] : YAML::Node(YAML::NodeType::Map), fullName(key), m_errors };
 }
 
 void SettingsNode::maps(const std::string& key, const std::function<void(SettingsNode&)>& readOne)
 {
     for (const auto& node : items(key)) {
         if (!node.IsMap()) {
-            m_mistakes.add(node.Mark(), fullName(key), "write a list of maps");
+            m_errors.add(node.Mark(), fullName(key), "write a list of maps");
             continue;
         }
-        SettingsNode one(node, fullName(key), m_mistakes);
+        SettingsNode one(node, fullName(key), m_errors);
         readOne(one);
         one.reportUnknownKeys();
     }
@@ -69,7 +69,7 @@
 
 void SettingsNode::addMissing(const std::string& key) { addError(key, "is missing; add it"); }
 
-void SettingsNode::addError(const std::string& key, const std::string& mend) { m_mistakes.add(markOf(key), fullName(key), mend); }
+void SettingsNode::addError(const std::string& key, const std::string& hint) { m_errors.add(markOf(key), fullName(key), hint); }
 
 void SettingsNode::reportUnknownKeys() const
 {
@@ -77,7 +77,7 @@
         return;
     for (const auto& item : m_node) {
         if (!item.first.IsScalar() || !m_known.contains(item.first.Scalar()))
-            m_mistakes.add(item.first.Mark(), fullName(item.first.IsScalar() ? item.first.Scalar() : "?"),
+            m_errors.add(item.first.Mark(), fullName(item.first.IsScalar() ? item.first.Scalar() : "?"),
                 "unknown key; remove it or correct its spelling");
     }
 }
--- a/src/base/SettingsNode.h
+++ b/src/base/SettingsNode.h
@@ -1,5 +1,5 @@
 /** \file
- * A map in a settings file that knows which of its keys were read, so that the rest can be reported as unknown.
+ * A map in a settings file that tracks which of its keys were read, so that the others can be reported as unknown.
  */
 #pragma once
 
@@ -13,18 +13,18 @@
 
 namespace wrenhinge {
 
-/// Collects the mistakes of one file.
+/// Collects the errors in one settings file.
 struct SettingsErrors {
     std::string file;
     std::vector<std::string> lines;
-    void add(const YAML::Mark&, const std::string& key, const std::string& mend);
+    void add(const YAML::Mark&, const std::string& key, const std::string& hint);
 };
 
 class SettingsNode {
 public:
     SettingsNode(const YAML::Node&, std::string path, SettingsErrors&);
 
-    /// Reads a value that may be absent by a parser of Units.h or a like one.
+    /// Reads an optional value with a parser such as those in Units.h.
     template <typename T, typename Parser> void optional(const std::string& key, T& field, Parser parse)
     {
         if (auto text = scalar(key))
@@ -37,7 +37,7 @@
         else
             addMissing(key);
     }
-    /// Reads a nested map; absent counts as empty.
+    /// Reads a nested map; a missing one is treated as empty.
     SettingsNode child(const std::string& key);
     /// Reads a list of values.
     template <typename T, typename Parser> void list(const std::string& key, std::vector<T>& field, Parser parse)
@@ -47,7 +47,7 @@
             if (node.IsScalar())
                 store(key, node.Scalar(), value, parse, node.Mark());
             else
-                m_mistakes.add(node.Mark(), fullName(key), "write a list of single values");
+                m_errors.add(node.Mark(), fullName(key), "write a list of single values");
             field.push_back(value);
         }
     }
@@ -55,10 +55,12 @@
     void maps(const std::string& key, const std::function<void(SettingsNode&)>& readOne);
 
     [[nodiscard]] bool has(const std::string& key) const;
+    /// Reports a required key as missing.
     void addMissing(const std::string& key);
-    /// Reports every key that was never asked for.
+    /// Reports every key that was not read.
     void reportUnknownKeys() const;
-    void addError(const std::string& key, const std::string& mend);
+    /// \param hint how to correct the key.
+    void addError(const std::string& key, const std::string& hint);
 
 private:
     std::optional<std::string> scalar(const std::string& key);
@@ -76,12 +78,12 @@
         if (auto value = parse(text))
             field = static_cast<T>(value.value());
         else
-            m_mistakes.add(mark, fullName(key), value.error().message);
+            m_errors.add(mark, fullName(key), value.error().message);
     }
 
     YAML::Node m_node;
     std::string m_path;
-    SettingsErrors& m_mistakes;
+    SettingsErrors& m_errors;
     std::set<std::string> m_known;
 };
 
--- a/src/base/SystemClock.h
+++ b/src/base/SystemClock.h
@@ -1,5 +1,5 @@
 /** \file
- * Reads the machine's clocks for the drivers; the decision logic never calls these.
+ * Reads the system clocks. Only the I/O code calls these; the state machines get the time with each event.
  */
 #pragma once
 
@@ -7,8 +7,8 @@
 
 namespace wrenhinge {
 
-/// Now, on a clock that goes on while the machine sleeps (CLOCK_BOOTTIME): on the usual monotonic clock a process that was
-/// suspended for an hour would still believe in its leases when it wakes.
+/// The current time on CLOCK_BOOTTIME, which includes time while the machine is suspended. By the usual monotonic clock, a
+/// process that was suspended for an hour would take its expired leases for valid when it resumes.
 Instant currentInstant();
 
 /// Microseconds since 1970, for logs and the time line only.
--- a/src/base/Time.h
+++ b/src/base/Time.h
@@ -1,9 +1,9 @@
 /** \file
- * Time as the decision logic sees it: a duration and an instant on the clock of one process.
+ * Time in the state machines: durations, and instants on the clock of one process.
  *
- * Every state machine receives the instant with its event and never reads a clock itself, so the same object
- * runs on the machine's clock in the daemon and on virtual time in tests. Instants of two processes are never
- * compared; messages carry durations ("5 ms from now"), since clocks need not agree.
+ * Every state machine receives the current instant with each event and never reads a clock itself, so that the same code
+ * runs on the system clock in the daemon and on virtual time in tests. Instants of different processes are never
+ * compared: their clocks need not agree, so messages contain durations ("5 ms from now").
  */
 #pragma once
 
@@ -15,8 +15,8 @@
 /// A span of time in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// The clock of one process. It goes on while the machine sleeps (see SystemClock), so that a process that was
-/// suspended finds its leases expired on waking.
+/// The clock of one process. It includes time while the machine is suspended (see SystemClock.h), so that a process finds
+/// its leases expired when it resumes.
 struct ProcessClock {
     using rep = std::int64_t;
     using period = std::micro;
--- a/src/base/Units.cpp
+++ b/src/base/Units.cpp
@@ -17,7 +17,7 @@
         Unit { "h", 3600e6 } };
     constexpr std::array byteUnits { Unit { "B", 1 }, Unit { "KB", 1e3 }, Unit { "MB", 1e6 }, Unit { "GB", 1e9 } };
     constexpr std::array rateUnits { Unit { "/s", 1 }, Unit { "/m", 1.0 / 60 } };
-    constexpr double largestQuantity = 9e15; // Whole numbers up to here are exact in a double.
+    constexpr double largestQuantity = 9e15; // Integers up to 9e15 are exact in a double.
 
     Error badQuantity(std::string_view text, std::string_view wanted)
     {
--- a/src/base/Units.h
+++ b/src/base/Units.h
@@ -1,7 +1,7 @@
 /** \file
- * Reads and writes quantities whose unit is part of the text: `570ms`, `20MB/s`, `256MB`.
+ * Parses and formats quantities with units: `570ms`, `20MB/s`, `256MB`.
  *
- * A bare number is refused: "570" could be milliseconds to one operator and seconds to another.
+ * A number without a unit is rejected: one operator could read "570" as milliseconds and another as seconds.
  */
 #pragma once
 
@@ -13,17 +13,17 @@
 
 namespace wrenhinge {
 
-/// Reads `12us`, `570ms`, `1.5s`, `10m` or `24h`.
+/// Parses `12us`, `570ms`, `1.5s`, `10m` or `24h`.
 Result<Duration> parseDuration(std::string_view);
-/// Reads `100B`, `64KB`, `20MB` or `2GB` (powers of 1,000). \returns bytes.
+/// Parses `100B`, `64KB`, `20MB` or `2GB` (powers of 1,000). \returns bytes.
 Result<std::uint64_t> parseBytes(std::string_view);
-/// Reads `20MB/s`. \returns bytes a second.
+/// Parses `20MB/s`. \returns bytes a second.
 Result<std::uint64_t> parseByteRate(std::string_view);
-/// Reads `100/s` or `30/m`. \returns events a second.
+/// Parses `100/s` or `30/m`. \returns events a second.
 Result<double> parseRate(std::string_view);
-/// Reads a plain whole number such as a count of slots.
+/// Parses a whole number without a unit, such as a number of slots.
 Result<std::uint64_t> parseCount(std::string_view);
-/// Reads `yes` or `no`.
+/// Parses `yes` or `no`, or `true` or `false`.
 Result<bool> parseYesNo(std::string_view);
 
 /// The shortest exact text form of a duration, such as `570ms`.
