--- a/src/process/StageKeeper.h
+++ b/src/process/StageKeeper.h
@@ -121,7 +121,7 @@
         StageOrder order { give.engine, give.to, m_holder, give.token, give.acceptedBefore };
         auto call = m_pool.call(give.engine.run, give.engine.address, Dialect::giveOrder(order), gather(onEnd, onFailure));
         // What has not left by then must not leave later, when another controller may lead.
-        m_lateOrder.expires_after(StageCoordinator::stepLimit);
+        m_lateOrder.expires_after(StageCoordinator::stepTimeout);
         m_lateOrder.async_wait([call](ErrorCode ec) {
             if (!ec)
                 UpstreamPool::cancel(call);
--- a/src/request/engine/AnswerLengths.cpp
+++ b/src/request/engine/AnswerLengths.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-    /// What is assumed before any answer has ended: the spread of the logarithm of the ratio, around a right estimate, and for how many
-    /// answers the assumption counts. The first answers to end are the short ones, so that a few of them must not decide.
-    constexpr double assumedSpread = 0.5;
-    constexpr double assumedAnswers = 20;
-    /// What is remembered of earlier answers with each one that ends: the last two hundred or so count.
-    constexpr double remembered = 0.995;
+    /// The prior distribution before any answer has ended: log-normal around an accurate estimate, with this standard deviation of the
+    /// logarithm, and weighted like this many answers. The first answers to end are the short ones, so a few of them must not dominate.
+    constexpr double priorSpread = 0.5;
+    constexpr double priorWeight = 20;
+    /// Factor applied to the counts with each new answer, so that about the last two hundred answers count.
+    constexpr double decay = 0.995;
 
     double normalShareAbove(double deviations) { return 0.5 * std::erfc(deviations / std::sqrt(2.0)); }
 
@@ -22,14 +22,14 @@
 {
     auto shareAbove = [](std::size_t bin) {
         double log2Ratio = static_cast<double>(bin) / binsPerOctave - octaves;
-        return normalShareAbove(log2Ratio * std::log(2.0) / assumedSpread);
+        return normalShareAbove(log2Ratio * std::log(2.0) / priorSpread);
     };
     for (std::size_t bin = 0; bin < bins; ++bin)
-        m_counts.at(bin) = assumedAnswers * (shareAbove(bin) - shareAbove(bin + 1));
-    sumUp();
+        m_counts.at(bin) = priorWeight * (shareAbove(bin) - shareAbove(bin + 1));
+    updateShares();
 }
 
-/// Where a ratio lies among the bins.
+/// The position of a ratio on the bin axis, in bins.
 double AnswerLengths::positionOf(double ratio)
 {
     return std::clamp((std::log2(ratio) + octaves) * binsPerOctave, 0.0, static_cast<double>(bins));
@@ -40,13 +40,13 @@
     if (!expected || !generated)
         return;
     for (auto& count : m_counts)
-        count *= remembered;
+        count *= decay;
     auto position = positionOf(static_cast<double>(generated) / expected);
     m_counts.at(std::min<std::size_t>(static_cast<std::size_t>(position), bins - 1)) += 1;
-    sumUp();
+    updateShares();
 }
 
-void AnswerLengths::sumUp()
+void AnswerLengths::updateShares()
 {
     double above = 0;
     m_above.back() = 0;
@@ -56,7 +56,7 @@
         share /= above;
 }
 
-/// Linear within a bin.
+/// Interpolates linearly within a bin.
 double AnswerLengths::longerThan(double ratio) const
 {
     auto position = positionOf(ratio);
@@ -71,12 +71,12 @@
         return 1;
     double estimate = std::max(1u, expected);
     auto reached = generated ? longerThan(generated / estimate) : 1.0;
-    auto goesOn = longerThan(length / estimate);
-    // An answer beyond all that were seen tells nothing of its rest; it is taken to double at most as often as not.
-    constexpr double leastKnown = 1e-4;
-    if (reached < leastKnown)
+    auto reachesLength = longerThan(length / estimate);
+    // Nothing is known about answers longer than all observed ones. Assume a probability of 0.5 until the length has doubled, then zero.
+    constexpr double minObservedShare = 1e-4;
+    if (reached < minObservedShare)
         return length < 2 * generated ? 0.5 : 0.0;
-    return std::min(1.0, goesOn / reached);
+    return std::min(1.0, reachesLength / reached);
 }
 
 } // namespace wrenhinge
--- a/src/request/engine/AnswerLengths.h
+++ b/src/request/engine/AnswerLengths.h
@@ -1,11 +1,11 @@
 /** \file
- * How long answers become against what their callers expect, learnt from those that have ended.
+ * The distribution of the actual lengths of answers relative to their callers' estimates, learned from completed answers.
  *
- * Callers' estimates are right at the median only: of three answers one becomes 1.3 times as long and more. What one answer will need
- * is therefore unknown, but the distribution of the ratio between length and estimate is stable, and tells how likely an answer that
- * has come this far goes on.
+ * Callers' estimates are accurate only at the median: one answer in three becomes at least 1.3 times as long. The length of a single
+ * answer can't be predicted, but the distribution of the ratio of length to estimate is stable, and gives the probability that an answer
+ * that has reached a certain length continues.
  *
- * Example: of answers that were expected to have 1,000 tokens and have 900, about 0.7 reach 1,100 tokens, 0.25 reach 1,700.
+ * Example: of answers that were estimated at 1,000 tokens and have reached 900, a share of 0.7 reach 1,100 tokens and 0.25 reach 1,700.
  */
 #pragma once
 
@@ -18,23 +18,24 @@
 public:
     AnswerLengths();
 
-    /// An answer has ended whole.
+    /// Records the length of a complete answer.
     void record(std::uint32_t expected, std::uint32_t generated);
-    /// The share of answers with this estimate that become longer than `length` tokens, of those that become longer than `generated`.
+    /// The probability that an answer with this estimate becomes longer than `length` tokens, given that it becomes longer than
+    /// `generated`.
     [[nodiscard]] double survival(std::uint32_t expected, std::uint32_t generated, std::uint32_t length) const;
 
 private:
-    /// Ratios from 1/16 to 16, in steps of a fifth of an octave: 15% wide, well below the spread of the estimates.
+    /// Bins for ratios from 1/16 to 16, five per factor of two. A bin is 15% wide, well below the spread of the estimates.
     static constexpr int binsPerOctave = 5;
     static constexpr int octaves = 4;
     static constexpr std::size_t bins = 2 * octaves * binsPerOctave;
 
     [[nodiscard]] static double positionOf(double ratio);
     [[nodiscard]] double longerThan(double ratio) const;
-    void sumUp();
+    void updateShares();
 
     std::array<double, bins> m_counts {};
-    std::array<double, bins + 1> m_above {}; ///< Share of answers from the lower end of each bin on.
+    std::array<double, bins + 1> m_above {}; ///< Share of answers at or above the lower edge of each bin.
 };
 
 } // namespace wrenhinge
--- a/src/request/engine/EngineAdmission.cpp
+++ b/src/request/engine/EngineAdmission.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-    /// Weight of the newest report in the running mean of tokens an event.
-    constexpr double newest = 0.1;
-    /// An answer of which nothing is known but what it has generated is taken to be half done.
-    constexpr std::uint32_t unknownPart = 2;
+    /// Weight of the latest report in the running mean of tokens per stream event.
+    constexpr double sampleWeight = 0.1;
+    /// The answer of a request without a reservation is assumed to become this many times as long as it is now.
+    constexpr std::uint32_t assumedLengthFactor = 2;
 
 } // namespace
 
@@ -27,59 +27,63 @@
     return std::exchange(m_effects, {});
 }
 
-Instant EngineAdmission::nextWake() const { return std::min(m_readAt, m_toldAt + (isNews() ? tellAgainAfter : tellEvery)); }
+Instant EngineAdmission::nextWake() const
+{
+    return std::min(m_nextReadAt, m_lastSentAt + (hasChanged() ? minSendInterval : maxSendInterval));
+}
 
 // --- Gateways ---------------------------------------------------------------------------------------------------
 
 void EngineAdmission::on(const GatewayUp& event, Instant) { m_gateways[event.gateway] = false; }
 
-/// What runs for the gateway ends at the engine by itself, and the reports show when.
+/// Keeps the gateway's requests that are already running: they end at the engine, as its reports will show.
 void EngineAdmission::on(const GatewayDown& event, Instant now)
 {
     m_gateways.erase(event.gateway);
-    std::erase_if(m_runs, [&event](const auto& item) { return item.second.gateway == event.gateway && !item.second.use.generated; });
+    std::erase_if(m_requests, [&event](const auto& item) { return item.second.gateway == event.gateway && !item.second.use.generated; });
     std::erase_if(m_prefills, [&event](const auto& item) { return item.second.gateway == event.gateway; });
     updateHeadroom(now);
 }
 
 void EngineAdmission::on(const ReservationRequested& event, Instant now)
 {
-    const auto& asked = event.request;
-    MemoryUse use { asked.promptTokens, 0, std::max(1u, asked.expectedTokens), std::max(asked.maxTokens, asked.expectedTokens) };
-    bool isGranted = fits(use, asked.slots, now);
+    const auto& request = event.request;
+    MemoryUse use { request.promptTokens, 0, std::max(1u, request.expectedTokens), std::max(request.maxTokens, request.expectedTokens) };
+    bool isGranted = fits(use, request.slots, now);
     if (isGranted) {
-        m_runs[asked.run] = Run { asked.request, event.gateway, use, now };
-        m_trust.recordSent(asked.request, now);
+        m_requests[request.run] = Request { request.request, event.gateway, use, now };
+        m_circuitBreaker.recordSent(request.request, now);
         updateHeadroom(now);
     }
-    m_effects.push_back(Send { event.gateway, ReservationReply { asked.request, asked.attempt, isGranted, m_headroom } });
+    m_effects.push_back(Send { event.gateway, ReservationReply { request.request, request.attempt, isGranted, m_headroom } });
 }
 
 void EngineAdmission::on(const ReservationEnded& event, Instant now)
 {
-    auto it = std::find_if(m_runs.begin(), m_runs.end(), [&event](const auto& item) { return item.second.request == event.end.request; });
-    if (it == m_runs.end())
+    auto it
+        = std::find_if(m_requests.begin(), m_requests.end(), [&event](const auto& item) { return item.second.id == event.end.request; });
+    if (it == m_requests.end())
         return;
     if (event.end.isComplete)
         m_lengths.record(it->second.use.expected, it->second.use.generated);
-    noteEnd(event, now);
-    m_runs.erase(it);
+    recordEnd(event, now);
+    m_requests.erase(it);
     updateHeadroom(now);
 }
 
-void EngineAdmission::noteEnd(const ReservationEnded& event, Instant now)
+void EngineAdmission::recordEnd(const ReservationEnded& event, Instant now)
 {
-    bool wasTrusted = m_trust.isClosed();
+    bool wasClosed = m_circuitBreaker.isClosed();
     if (event.end.isComplete)
-        m_trust.recordSuccess();
+        m_circuitBreaker.recordSuccess();
     else if (event.end.hasFailed)
-        m_trust.recordFailure(event.gateway, event.end.request, now);
+        m_circuitBreaker.recordFailure(event.gateway, event.end.request, now);
     else
-        m_trust.recordUnused(event.end.request);
-    if (wasTrusted != m_trust.isClosed()) {
-        auto code = wasTrusted ? EventCode::UpstreamEjected : EventCode::UpstreamReturned;
-        m_effects.push_back(
-            LogEvent { code, {}, m_settings.engineAddress + (wasTrusted ? " breaks what it is sent" : " has served again") });
+        m_circuitBreaker.recordUnused(event.end.request);
+    if (wasClosed != m_circuitBreaker.isClosed()) {
+        auto code = wasClosed ? EventCode::UpstreamEjected : EventCode::UpstreamReturned;
+        m_effects.push_back(LogEvent {
+            code, {}, m_settings.engineAddress + (wasClosed ? " fails the requests sent to it" : " has served a request again") });
     }
 }
 
@@ -100,10 +104,10 @@
     return sum;
 }
 
-/// Whether another answer fits into the memory and the slots of the engine.
+/// Whether another request fits into the engine's memory and slots.
 bool EngineAdmission::fits(const MemoryUse& added, std::uint32_t slots, Instant now) const
 {
-    if (!isOpen(now) || m_runs.size() >= slots)
+    if (!acceptsRequests(now) || m_requests.size() >= slots)
         return false;
     auto all = uses();
     all.push_back(added);
@@ -113,59 +117,59 @@
 std::vector<MemoryUse> EngineAdmission::uses() const
 {
     std::vector<MemoryUse> list;
-    list.reserve(m_runs.size() + 1);
-    for (const auto& [id, run] : m_runs)
-        list.push_back(run.use);
+    list.reserve(m_requests.size() + 1);
+    for (const auto& [id, request] : m_requests)
+        list.push_back(request.use);
     return list;
 }
 
-std::uint64_t EngineAdmission::available() const { return m_report->total - std::min(m_report->total, m_others); }
+std::uint64_t EngineAdmission::available() const { return m_report->total - std::min(m_report->total, m_otherTokens); }
 
 std::uint64_t EngineAdmission::headroom() const { return m_headroom; }
 
 void EngineAdmission::updateHeadroom(Instant now)
 {
     m_headroom = 0;
-    if (!isOpen(now))
+    if (!acceptsRequests(now))
         return;
     auto needed = static_cast<std::uint64_t>(forecastPeak(uses(), m_lengths, m_settings.spareDeviations));
     m_headroom = available() - std::min(available(), needed);
 }
 
-/// Whether the room has changed by so much that gateways would choose otherwise.
-bool EngineAdmission::isNews() const
+/// Whether the headroom or the prefill backlog has changed enough since it was last sent to affect the gateways' choice of engines.
+bool EngineAdmission::hasChanged() const
 {
-    if (!m_told)
+    if (!m_lastSent)
         return false;
-    if (m_told->prefillBacklog != prefillBacklog())
+    if (m_lastSent->prefillBacklog != prefillBacklog())
         return true;
-    auto change = std::max(m_headroom, m_told->tokens) - std::min(m_headroom, m_told->tokens);
-    return change && (!m_report || change >= m_report->total / toldPart);
+    auto change = std::max(m_headroom, m_lastSent->tokens) - std::min(m_headroom, m_lastSent->tokens);
+    return change && (!m_report || change >= m_report->total / headroomChangeDivisor);
 }
 
-/// Says nothing before the engine has answered once: gateways then reserve at the engine, as without a sidecar.
+/// Sends nothing before the first report of the engine: until then gateways reserve at the engine, as they do without a sidecar.
 void EngineAdmission::sendHeadroom(Instant now)
 {
-    if (!m_told && (!m_report || now < m_announcedAt))
+    if (!m_lastSent && (!m_report || now < m_announcedAt))
         return;
-    bool isForAll = !m_told || (isNews() && now - m_toldAt >= tellAgainAfter) || now - m_toldAt >= tellEvery;
+    bool isBroadcast = !m_lastSent || (hasChanged() && now - m_lastSentAt >= minSendInterval) || now - m_lastSentAt >= maxSendInterval;
     EngineHeadroom headroom { m_settings.engineAddress, m_headroom, prefillBacklog() };
-    for (auto& [gateway, hasBeenTold] : m_gateways) {
-        if (isForAll || !hasBeenTold)
+    for (auto& [gateway, wasInformed] : m_gateways) {
+        if (isBroadcast || !wasInformed)
             m_effects.push_back(Send { gateway, headroom });
-        hasBeenTold = true;
+        wasInformed = true;
     }
-    if (!isForAll)
+    if (!isBroadcast)
         return;
-    m_told = std::move(headroom);
-    m_toldAt = now;
+    m_lastSent = std::move(headroom);
+    m_lastSentAt = now;
 }
 
 // --- The engine -------------------------------------------------------------------------------------------------
 
 void EngineAdmission::on(const Tick&, Instant now)
 {
-    if (m_readAt > now)
+    if (m_nextReadAt > now)
         return;
     if (m_isReading)
         on(EngineRead { m_reading, std::nullopt }, now);
@@ -176,7 +180,7 @@
 void EngineAdmission::read(Instant now)
 {
     m_isReading = true;
-    m_readAt = now + readLimit;
+    m_nextReadAt = now + readTimeout;
     m_effects.push_back(ReadEngine { ++m_reading });
 }
 
@@ -186,61 +190,61 @@
         return;
     m_isReading = false;
     bool isPrefill = event.report && !event.report->isDecode;
-    m_readAt = now + (isPrefill ? readPrefillEvery : readEvery);
-    m_misses = event.report ? 0 : m_misses + 1;
-    if (m_misses >= mostMisses)
-        return forgetEngine(now);
+    m_nextReadAt = now + (isPrefill ? prefillReadInterval : readInterval);
+    m_missedReads = event.report ? 0 : m_missedReads + 1;
+    if (m_missedReads >= maxMissedReads)
+        return resetEngine(now);
     if (!event.report)
         return;
     if (!m_report)
-        m_announcedAt = now + unannouncedLimit;
+        m_announcedAt = now + announcementDelay;
     m_report = event.report;
-    std::uint64_t ofRuns = 0;
-    for (const auto& run : m_report->running) {
-        ofRuns += run.tokens;
-        takeRun(run, now);
+    std::uint64_t requestTokens = 0;
+    for (const auto& running : m_report->running) {
+        requestTokens += running.tokens;
+        updateRequest(running, now);
     }
-    m_others = m_report->used - std::min(m_report->used, ofRuns);
-    std::erase_if(m_runs, [now](const auto& item) { return now - item.second.seenAt > unusedLimit; });
-    std::erase_if(m_prefills, [now](const auto& item) { return now - item.second.since > longestPrefill; });
+    m_otherTokens = m_report->used - std::min(m_report->used, requestTokens);
+    std::erase_if(m_requests, [now](const auto& item) { return now - item.second.seenAt > reservationTimeout; });
+    std::erase_if(m_prefills, [now](const auto& item) { return now - item.second.since > prefillTimeout; });
     updateHeadroom(now);
 }
 
-void EngineAdmission::forgetEngine(Instant now)
+void EngineAdmission::resetEngine(Instant now)
 {
     m_report.reset();
-    m_runs.clear();
+    m_requests.clear();
     m_prefills.clear();
-    m_others = 0;
-    m_trust = {};
+    m_otherTokens = 0;
+    m_circuitBreaker = {};
     updateHeadroom(now);
 }
 
-void EngineAdmission::takeRun(const RunningRequest& seen, Instant now)
+void EngineAdmission::updateRequest(const RunningRequest& running, Instant now)
 {
-    auto [it, isUnknown] = m_runs.try_emplace(seen.id);
-    auto& run = it->second;
-    run.seenAt = now;
-    auto& use = run.use;
-    if (isUnknown) {
-        // Reserved for by a gateway that could not reach this process, or before it started.
-        use.generated = std::min(seen.tokens, static_cast<std::uint32_t>(m_tokensPerEvent * seen.events));
-        use.promptTokens = seen.tokens - use.generated;
+    auto [it, isNew] = m_requests.try_emplace(running.id);
+    auto& request = it->second;
+    request.seenAt = now;
+    auto& use = request.use;
+    if (isNew) {
+        // Reserved by a gateway that could not reach this process, or before this process started.
+        use.generated = std::min(running.tokens, static_cast<std::uint32_t>(m_tokensPerEvent * running.events));
+        use.promptTokens = running.tokens - use.generated;
     } else {
-        learnStride(seen, run);
-        use.generated = seen.tokens - std::min(seen.tokens, use.promptTokens);
+        updateTokensPerEvent(running, request);
+        use.generated = running.tokens - std::min(running.tokens, use.promptTokens);
     }
-    if (!run.request)
-        use.expected = use.most = std::max(1u, use.generated * unknownPart);
+    if (!request.id)
+        use.expected = use.maxTokens = std::max(1u, use.generated * assumedLengthFactor);
 }
 
-/// How many tokens an event of a stream stands for, from an answer whose prompt is known.
-void EngineAdmission::learnStride(const RunningRequest& seen, const Run& run)
+/// Updates the mean number of tokens per stream event from a request whose prompt length is known.
+void EngineAdmission::updateTokensPerEvent(const RunningRequest& running, const Request& request)
 {
-    if (!run.request || !seen.events || seen.tokens <= run.use.promptTokens)
+    if (!request.id || !running.events || running.tokens <= request.use.promptTokens)
         return;
-    auto stride = static_cast<double>(seen.tokens - run.use.promptTokens) / seen.events;
-    m_tokensPerEvent += (stride - m_tokensPerEvent) * (m_tokensPerEvent > 0 ? newest : 1);
+    auto tokensPerEvent = static_cast<double>(running.tokens - request.use.promptTokens) / running.events;
+    m_tokensPerEvent += (tokensPerEvent - m_tokensPerEvent) * (m_tokensPerEvent > 0 ? sampleWeight : 1);
 }
 
 } // namespace wrenhinge
--- a/src/request/engine/EngineAdmission.h
+++ b/src/request/engine/EngineAdmission.h
@@ -1,16 +1,15 @@
 /** \file
- * Who may use an engine's KV memory: the decisions of the sidecar beside an engine that gateways call themselves.
+ * Admission control for an engine's KV memory. Runs in the sidecar of an engine that gateways call directly.
  *
- * What goes wrong without it: each gateway knows only its own requests, and can ask the engine for a reservation only by a number of
- * tokens. Reserved for what an answer may become, a third of the memory stays empty while callers are refused; reserved for less, the
- * answers outgrow it together, and the engine sets running streams back and reads their prompts and answers anew. One notices by
- * refusals for want of memory beside an engine that is half empty, or by pauses of running streams. This process sees the engine's own
- * report every `readEvery`, knows each request's prompt and estimate, and admits by what the answers together are expected to need
- * (MemoryForecast). Gateways are told how much room there is, so that they ask where there is some.
+ * Without it, each gateway knows only its own requests, and can only reserve a number of tokens at the engine. If gateways reserve the
+ * longest possible answer, a third of the memory stays empty while callers are refused. If they reserve less, the answers together can
+ * outgrow the memory; the engine then preempts running streams and prefills their prompts and answers again. The symptoms are requests
+ * refused for lack of memory while the engine is half empty, or pauses in running streams. The sidecar reads the engine's report every
+ * `readInterval`, knows the prompt and the estimated answer length of each request, and admits requests by the memory that all answers
+ * together are expected to need (MemoryForecast). It sends the remaining headroom to all gateways, so that they choose engines with some.
  *
- * It also hears from all gateways how runs end (EngineCircuitBreaker): an engine that says it is well and breaks whatever it is sent gets
- * no more. An engine that does not answer has no room. A sidecar that is gone leaves the engine as it is: gateways then reserve at the
- * engine.
+ * All gateways also report how requests ended (EngineCircuitBreaker): an engine that reports itself healthy but fails every request gets
+ * no more of them. An engine that doesn't respond has no headroom. If the sidecar is down, gateways reserve at the engine themselves.
  */
 #pragma once
 
@@ -29,18 +28,18 @@
 
 namespace admission {
 
-    /// One run in an engine's report.
+    /// A running request in an engine's report.
     struct RunningRequest {
         std::string id;
-        std::uint32_t tokens = 0; ///< In memory, prompt and answer.
-        std::uint32_t events = 0; ///< Of its stream, so far.
+        std::uint32_t tokens = 0; ///< KV memory that it occupies, for prompt and answer.
+        std::uint32_t events = 0; ///< Stream events sent so far.
     };
-    /// What an engine says of its memory.
+    /// An engine's report about its KV memory.
     struct EngineReport {
         bool isDecode = false;
-        std::uint64_t waiting = 0; ///< Requests that it has taken and that do not run: there is no memory for them now.
-        std::uint64_t total = 0; ///< Tokens that the memory holds.
-        std::uint64_t used = 0; ///< Tokens that can't be dropped, whatever they belong to.
+        std::uint64_t waiting = 0; ///< Accepted requests that are not running, for lack of memory.
+        std::uint64_t total = 0; ///< Capacity of the memory in tokens.
+        std::uint64_t used = 0; ///< Tokens that can't be evicted, including those of other users of the memory.
         std::vector<RunningRequest> running;
     };
 
@@ -63,7 +62,7 @@
         PeerId gateway;
         PrefillNotice notice;
     };
-    /// The answer to ReadEngine; nothing if there was none that can be used.
+    /// The reply to ReadEngine; `report` is empty if there was no valid reply.
     struct EngineRead {
         std::uint64_t number = 0;
         std::optional<EngineReport> report;
@@ -77,7 +76,7 @@
         Message message;
     };
     struct ReadEngine {
-        std::uint64_t number = 0; ///< Pairs the answer; those to earlier ones are late.
+        std::uint64_t number = 0; ///< Repeated in the reply; replies with a lower number are late.
     };
     using Effect = std::variant<Send, ReadEngine, LogEvent>;
 
@@ -89,52 +88,56 @@
 
     struct Settings {
         std::string engineAddress;
-        /// How many standard deviations of the forecast are kept free. A stream that is set back costs its caller a pause and the engine a
-        /// prompt and an answer read anew, about twice what a refused one costs. With 1, 1.5, 2 and 3 some 40, 18, 5 and 3 streams a day
-        /// were set back, and the mean worth of five days of eleven engines was 0.466, 0.493, 0.513 and 0.476.
+        /// Safety margin of the forecast in standard deviations. Preempting a stream makes its caller wait and the engine prefill a
+        /// prompt and an answer again, which costs about twice as much as refusing a request. With 1, 1.5, 2 and 3 deviations some 40, 18,
+        /// 5 and 3 streams a day were preempted, and the mean score over five days of eleven engines was 0.466, 0.493, 0.513 and 0.476.
         double spareDeviations = 2;
     };
 
-    /// A report is read this often. Answers grow by 1% of the memory meanwhile (10 answers at 1,600 tokens a second, 78,000 tokens).
-    static constexpr Duration readEvery = 50ms;
-    /// A prefill engine is asked less often: its reports only show when it has changed its stage or is gone, and a third of all sidecars
-    /// are beside one. Each report costs a sidecar a millisecond of its processor: 0.02 of a core at 20 a second.
-    static constexpr Duration readPrefillEvery = 200ms;
-    /// An engine on the same machine answers within a millisecond; one that has not within this is taken to be down.
-    static constexpr Duration readLimit = 300ms;
-    /// So many reads without an answer in a row mean that the engine is down; one may be this process standing still.
-    static constexpr std::uint32_t mostMisses = 2;
-    /// An engine that answers again has started as another run, which gateways hear of by its announcement, every 1.2 s. What they
-    /// send to the former run until then is refused, after its prompt was read in vain, so they are told of no room before that.
-    static constexpr Duration unannouncedLimit = 1300ms;
-    /// A reservation that no run has used for this long lapses: several times the longest prefill with its queue. Also how long a run
-    /// counts that the engine's report has stopped naming, as one that is set back does until it is admitted again.
-    static constexpr Duration unusedLimit = 1500ms;
-    /// A prefill that nobody has reported as ended counts no longer after this.
-    static constexpr Duration longestPrefill = 3s;
-    /// Gateways are told of the room when it has changed by this part of the memory, but not more often than `tellAgainAfter`; and
-    /// every `tellEvery`, as a message is lost with its link.
-    static constexpr std::uint64_t toldPart = 32;
-    static constexpr Duration tellAgainAfter = 30ms;
-    static constexpr Duration tellEvery = 1s;
+    /// Interval between reads of the engine's report, in which answers grow by 1% of the memory (10 answers at 1,600 tokens a second,
+    /// 78,000 tokens of memory).
+    static constexpr Duration readInterval = 50ms;
+    /// The same for a prefill engine, whose report only shows whether it has changed its stage or is down. A third of all engines are
+    /// prefill engines, and each report takes the sidecar a millisecond of CPU time: 0.02 of a core at 20 reports a second.
+    static constexpr Duration prefillReadInterval = 200ms;
+    /// Timeout of one read. An engine on the same machine normally replies within a millisecond.
+    static constexpr Duration readTimeout = 300ms;
+    /// After this many consecutive reads without a reply, the engine is considered down. A single one can be due to a pause of this
+    /// process.
+    static constexpr std::uint32_t maxMissedReads = 2;
+    /// An engine that replies again after an outage has restarted as a new run. Gateways learn of the run from its announcement, sent
+    /// every 1.2 s. Requests that they address to the former run until then are refused after a wasted prefill, so the sidecar reports
+    /// no headroom before this delay is over.
+    static constexpr Duration announcementDelay = 1300ms;
+    /// A reservation expires if its request doesn't start within this: several times the longest prefill including queueing. A request
+    /// that disappears from the engine's reports also counts for this long: a preempted one does until the engine resumes it.
+    static constexpr Duration reservationTimeout = 1500ms;
+    /// A prefill whose end was not reported is dropped after this.
+    static constexpr Duration prefillTimeout = 3s;
+    /// The headroom is sent to gateways when it has changed by at least the capacity divided by this, at most once per `minSendInterval`,
+    /// and at least once per `maxSendInterval`, since messages are lost when a link breaks.
+    static constexpr std::uint64_t headroomChangeDivisor = 32;
+    static constexpr Duration minSendInterval = 30ms;
+    static constexpr Duration maxSendInterval = 1s;
 
     explicit EngineAdmission(Settings);
 
     Effects step(const admission::Event&, Instant now);
     [[nodiscard]] Instant nextWake() const;
 
-    /// Tokens that the memory can take beyond what is expected to be needed.
+    /// Free KV memory beyond the forecast need, in tokens.
     [[nodiscard]] std::uint64_t headroom() const;
-    [[nodiscard]] std::size_t running() const { return m_runs.size(); }
-    /// Tokens of the prompts that were sent to the engine to be read for others, and are not read yet.
+    /// Requests that are running or have a reservation.
+    [[nodiscard]] std::size_t running() const { return m_requests.size(); }
+    /// Prompt tokens sent to the engine for prefill that are not prefilled yet.
     [[nodiscard]] std::uint64_t prefillBacklog() const;
 
 private:
-    struct Run {
-        std::optional<RequestId> request; ///< Nothing: no gateway has reserved for it here.
+    struct Request {
+        std::optional<RequestId> id; ///< Empty: it has no reservation in this process.
         PeerId gateway;
         MemoryUse use;
-        Instant seenAt; ///< In a report, or when it was reserved for.
+        Instant seenAt; ///< When it was last in a report, or was reserved.
     };
 
     struct Prefill {
@@ -151,44 +154,44 @@
     void on(const admission::EngineRead&, Instant);
     void on(const admission::Tick&, Instant);
 
-    void noteEnd(const admission::ReservationEnded&, Instant);
-    void forgetEngine(Instant);
-    void takeRun(const admission::RunningRequest&, Instant);
-    void learnStride(const admission::RunningRequest&, const Run&);
+    void recordEnd(const admission::ReservationEnded&, Instant);
+    void resetEngine(Instant);
+    void updateRequest(const admission::RunningRequest&, Instant);
+    void updateTokensPerEvent(const admission::RunningRequest&, const Request&);
     void read(Instant);
     void sendHeadroom(Instant);
     [[nodiscard]] bool fits(const MemoryUse& added, std::uint32_t slots, Instant now) const;
     [[nodiscard]] std::vector<MemoryUse> uses() const;
     [[nodiscard]] std::uint64_t available() const;
     void updateHeadroom(Instant);
-    /// Not while requests wait there: an engine that has set streams back keeps a few of them waiting, and refuses whatever comes then,
-    /// after its prompt was read elsewhere.
-    [[nodiscard]] bool isOpen(Instant now) const
+    /// False while requests are waiting at the engine: an engine that has preempted streams keeps a few of them waiting and refuses further
+    /// requests, whose prompts were then prefilled elsewhere in vain.
+    [[nodiscard]] bool acceptsRequests(Instant now) const
     {
-        return m_report && m_report->isDecode && !m_report->waiting && now >= m_announcedAt && m_trust.allowsRequest(now);
+        return m_report && m_report->isDecode && !m_report->waiting && now >= m_announcedAt && m_circuitBreaker.allowsRequest(now);
     }
-    [[nodiscard]] bool isNews() const;
+    [[nodiscard]] bool hasChanged() const;
 
     Settings m_settings;
     AnswerLengths m_lengths;
-    EngineCircuitBreaker m_trust;
-    std::map<std::string, Run> m_runs; ///< By the engine's name for them.
+    EngineCircuitBreaker m_circuitBreaker;
+    std::map<std::string, Request> m_requests; ///< By the engine's id for them.
     std::map<RequestId, Prefill> m_prefills;
-    std::map<PeerId, bool> m_gateways; ///< Whether each has been told of the room.
-    double m_tokensPerEvent = 0; ///< As the reports show; zero: not known.
+    std::map<PeerId, bool> m_gateways; ///< Whether each has received the headroom.
+    double m_tokensPerEvent = 0; ///< Running mean from the reports; zero: not known.
 
     std::optional<admission::EngineReport> m_report;
-    std::uint64_t m_others = 0; ///< Of the memory in use, what belongs to no run.
-    std::uint64_t m_reading = 0; ///< The number of the newest read.
+    std::uint64_t m_otherTokens = 0; ///< Memory in use that belongs to no running request.
+    std::uint64_t m_reading = 0; ///< The number of the latest read.
     bool m_isReading = false;
-    std::uint32_t m_misses = 0; ///< Reads in a row without an answer.
-    Instant m_readAt; ///< When to read next, or to give up the present read.
+    std::uint32_t m_missedReads = 0; ///< Consecutive reads without a reply.
+    Instant m_nextReadAt; ///< When to read next, or when the current read times out.
 
-    Instant m_announcedAt; ///< When gateways have heard of the engine's present run.
+    Instant m_announcedAt; ///< When gateways should know the engine's current run.
 
     std::uint64_t m_headroom = 0;
-    std::optional<EngineHeadroom> m_told;
-    Instant m_toldAt;
+    std::optional<EngineHeadroom> m_lastSent;
+    Instant m_lastSentAt;
     Effects m_effects;
 };
 
--- a/src/request/engine/EngineCircuitBreaker.cpp
+++ b/src/request/engine/EngineCircuitBreaker.cpp
@@ -8,37 +8,37 @@
 {
     if (isClosed())
         return true;
-    bool isTrying = m_try && now - m_triedAt < probeTimeout;
-    return now >= m_closedUntil && !isTrying;
+    bool isProbing = m_probe && now - m_probeSentAt < probeTimeout;
+    return now >= m_openUntil && !isProbing;
 }
 
 void EngineCircuitBreaker::recordSent(const RequestId& request, Instant now)
 {
     if (isClosed())
         return;
-    m_try = request;
-    m_triedAt = now;
+    m_probe = request;
+    m_probeSentAt = now;
 }
 
 void EngineCircuitBreaker::recordFailure(PeerId gateway, const RequestId& request, Instant now)
 {
-    bool wasTrusted = isClosed();
-    ++m_broken;
+    bool wasClosed = isClosed();
+    ++m_failures;
     m_gateways.insert(gateway);
     if (isClosed())
         return;
-    // Ends of what was sent before it was closed say nothing new.
-    if (!wasTrusted && m_try != request)
+    // Failures of requests sent before the breaker opened say nothing new.
+    if (!wasClosed && m_probe != request)
         return;
-    m_try.reset();
-    m_closedUntil = now + m_pause;
-    m_pause = std::min(2 * m_pause, maxOpenTime);
+    m_probe.reset();
+    m_openUntil = now + m_openTime;
+    m_openTime = std::min(2 * m_openTime, maxOpenTime);
 }
 
 void EngineCircuitBreaker::recordUnused(const RequestId& request)
 {
-    if (m_try == request)
-        m_try.reset();
+    if (m_probe == request)
+        m_probe.reset();
 }
 
 } // namespace wrenhinge
--- a/src/request/engine/EngineCircuitBreaker.h
+++ b/src/request/engine/EngineCircuitBreaker.h
@@ -1,12 +1,13 @@
 /** \file
- * Whether an engine is worth sending to, by how what was sent there ended.
+ * A circuit breaker for an engine, driven by how the requests sent to it ended.
  *
- * An engine may say that it is well and reset whatever it is sent. Its own report doesn't show that, and a gateway finds it out alone, by a
- * request that is lost and a prompt that was read for nothing; with tens of gateways that is as many of them. The engine's sidecar
- * hears of all ends: after a few broken ones in a row nothing more is sent, then one at a time, until one comes to its end.
+ * An engine can report itself healthy and still reset every request. Its own report doesn't show that, and without the breaker each
+ * gateway finds out alone, at the cost of a lost request and a wasted prefill: with tens of gateways, tens of both. The engine's sidecar
+ * learns how all requests ended. After a few failures in a row the breaker opens and no more requests are sent; then it lets one probe
+ * request through at a time, and closes after the first success.
  *
- * Only ends in a row count, from more than one gateway: a cut that some gateways feel, answers that are lost now and then, and one
- * caller whose requests break leave an engine that serves others in use.
+ * Only consecutive failures reported by more than one gateway count, so that an engine that serves others stays in use when a network
+ * partition affects some gateways, when answers are lost occasionally, or when the requests of one caller fail.
  */
 #pragma once
 
@@ -20,31 +21,31 @@
 
 class EngineCircuitBreaker {
 public:
-    /// Broken ends in a row after which nothing more is sent.
+    /// Consecutive failures after which the breaker opens.
     static constexpr std::size_t failureThreshold = 3;
-    /// For how long, at first; twice as long after each try that is broken too, up to the longest.
+    /// How long it stays open before the first probe; doubled after each failed probe, up to `maxOpenTime`.
     static constexpr Duration initialOpenTime = 500ms;
     static constexpr Duration maxOpenTime = 4s;
-    /// A try that has not ended by then, with the longest streams of 14 s, is followed by another one.
+    /// If a probe has not ended after this time, another one is sent. The longest streams take 14 s.
     static constexpr Duration probeTimeout = 5s;
 
-    [[nodiscard]] bool isClosed() const { return m_broken < failureThreshold || m_gateways.size() < 2; }
-    /// Whether another request may be sent now.
+    [[nodiscard]] bool isClosed() const { return m_failures < failureThreshold || m_gateways.size() < 2; }
+    /// Whether another request may be sent now: always while closed, else only as a probe.
     [[nodiscard]] bool allowsRequest(Instant now) const;
-    /// A request is sent.
+    /// A request was sent; if the breaker is not closed, it is the probe.
     void recordSent(const RequestId&, Instant now);
     void recordSuccess() { *this = {}; }
     void recordFailure(PeerId gateway, const RequestId&, Instant now);
-    /// The request was not sent after all.
+    /// The request was not sent in the end.
     void recordUnused(const RequestId&);
 
 private:
-    std::size_t m_broken = 0; ///< In a row.
-    std::set<PeerId> m_gateways; ///< That have told of these.
-    Duration m_pause = initialOpenTime;
-    Instant m_closedUntil;
-    std::optional<RequestId> m_try; ///< The one that decides.
-    Instant m_triedAt;
+    std::size_t m_failures = 0; ///< Consecutive ones.
+    std::set<PeerId> m_gateways; ///< The gateways that reported them.
+    Duration m_openTime = initialOpenTime;
+    Instant m_openUntil;
+    std::optional<RequestId> m_probe; ///< The request whose outcome closes the breaker or keeps it open.
+    Instant m_probeSentAt;
 };
 
 } // namespace wrenhinge
--- a/src/request/engine/EngineHeadroomTable.h
+++ b/src/request/engine/EngineHeadroomTable.h
@@ -1,8 +1,8 @@
 /** \file
- * How much room the KV memories of engines have, as their sidecars tell a gateway.
+ * A gateway's table of the headroom in engines' KV memory, as reported by their sidecars.
  *
- * Soft state: what a sidecar told counts until it tells anew or its link ends. Between two tellings a gateway takes off what it has
- * asked for itself, so that the requests of a surge don't all go to the engine that had most room a moment ago.
+ * Soft state: an entry is valid until the sidecar reports again or its link is lost. Between two reports a gateway subtracts its own
+ * requests, so that the requests of a surge don't all go to the engine that had the most headroom in the last report.
  */
 #pragma once
 
@@ -21,44 +21,44 @@
     struct Headroom {
         PeerId sidecar;
         std::uint64_t tokens = 0; ///< Zero: the engine takes no request.
-        std::uint64_t prefillBacklog = 0; ///< Tokens of prompts that wait to be read.
+        std::uint64_t prefillBacklog = 0; ///< Prompt tokens waiting for prefill.
     };
 
-    /// \param address the engine's. \returns whether there is more room than before.
+    /// \param address the engine's. \returns whether the headroom has increased.
     bool update(const std::string& address, const Headroom& headroom)
     {
-        auto former = std::exchange(m_rooms[address], headroom);
-        return headroom.tokens > former.tokens;
+        auto previous = std::exchange(m_headrooms[address], headroom);
+        return headroom.tokens > previous.tokens;
     }
     void setTokens(const std::string& address, std::uint64_t tokens)
     {
-        if (auto it = m_rooms.find(address); it != m_rooms.end())
+        if (auto it = m_headrooms.find(address); it != m_headrooms.end())
             it->second.tokens = tokens;
     }
     void take(const std::string& address, std::uint64_t tokens)
     {
-        if (auto it = m_rooms.find(address); it != m_rooms.end())
+        if (auto it = m_headrooms.find(address); it != m_headrooms.end())
             it->second.tokens -= std::min(it->second.tokens, tokens);
     }
     void addPrefill(const std::string& address, std::uint64_t tokens)
     {
-        if (auto it = m_rooms.find(address); it != m_rooms.end())
+        if (auto it = m_headrooms.find(address); it != m_headrooms.end())
             it->second.prefillBacklog += tokens;
     }
-    /// The sidecar's link has ended.
+    /// Removes all entries of a sidecar whose link was lost.
     void forget(PeerId sidecar)
     {
-        std::erase_if(m_rooms, [sidecar](const auto& item) { return item.second.sidecar == sidecar; });
+        std::erase_if(m_headrooms, [sidecar](const auto& item) { return item.second.sidecar == sidecar; });
     }
-    /// \returns nullptr if no sidecar tells of the engine.
+    /// \returns nullptr if no sidecar has reported the engine.
     [[nodiscard]] const Headroom* find(const std::string& address) const
     {
-        auto it = m_rooms.find(address);
-        return it == m_rooms.end() ? nullptr : &it->second;
+        auto it = m_headrooms.find(address);
+        return it == m_headrooms.end() ? nullptr : &it->second;
     }
 
 private:
-    std::map<std::string, Headroom> m_rooms; ///< By the engine's address.
+    std::map<std::string, Headroom> m_headrooms; ///< By the engine's address.
 };
 
 } // namespace wrenhinge
--- a/src/request/engine/EngineLoad.cpp
+++ b/src/request/engine/EngineLoad.cpp
@@ -20,7 +20,7 @@
     auto& service = m_services[name];
     auto sample = toSeconds(took) / std::max(1u, promptTokens);
     bool isFirst = service.secondsPerToken <= 0;
-    service.secondsPerToken = isFirst ? sample : std::min(sample, service.secondsPerToken * (1 + forgetFastest));
+    service.secondsPerToken = isFirst ? sample : std::min(sample, service.secondsPerToken * (1 + prefillTimeDrift));
 }
 
 void EngineLoad::finish(const std::string& name, Instant admittedAt, bool isServed, Instant now)
@@ -29,17 +29,17 @@
     --service.running;
     service.admittedSum -= admittedAt.time_since_epoch();
     if (isServed) {
-        service.answers = service.answers * rememberAnswers + 1;
-        service.endedSeconds *= rememberAnswers;
+        service.answers = service.answers * answerDecay + 1;
+        service.endedSeconds *= answerDecay;
     }
     service.endedSeconds += toSeconds(now - admittedAt);
 }
 
-/// In seconds.
+/// The mean time that a served request occupies its slot and memory, in seconds.
 double EngineLoad::meanHold(const Service& service, Instant now)
 {
     auto runningSeconds = toSeconds(now.time_since_epoch() * service.running - service.admittedSum);
-    return (service.endedSeconds + runningSeconds) / (service.answers + partDone * static_cast<double>(service.running));
+    return (service.endedSeconds + runningSeconds) / (service.answers + assumedProgress * static_cast<double>(service.running));
 }
 
 bool EngineLoad::hasWork() const
@@ -52,10 +52,10 @@
     auto seconds = toSeconds(now - std::exchange(m_takenAt, now));
     EngineLoadReport report;
     for (auto& [name, service] : m_services) {
-        bool isKnown = service.secondsPerToken > 0 && service.answers >= answersBeforeReport;
+        bool isKnown = service.secondsPerToken > 0 && service.answers >= minAnswers;
         if (isKnown && service.requests) {
             auto ofMemory = static_cast<double>(service.tokens)
-                / (usableMemory * static_cast<double>(std::max<std::uint64_t>(1, service.facts.cacheTokens)));
+                / (meanMemoryUse * static_cast<double>(std::max<std::uint64_t>(1, service.facts.cacheTokens)));
             auto ofSlots = static_cast<double>(service.requests) / std::max(1u, service.facts.slots);
             auto& busy = report.services[name];
             busy.prefill = static_cast<double>(service.promptTokens) * service.secondsPerToken / seconds;
--- a/src/request/engine/MemoryForecast.cpp
+++ b/src/request/engine/MemoryForecast.cpp
@@ -8,46 +8,46 @@
 
 namespace {
 
-    /// Moments at which the sum is looked at; closer together near now, where most peaks lie.
-    constexpr std::size_t moments = 16;
+    /// The number of points at which the sum is computed. They are denser near now, where most peaks are.
+    constexpr std::size_t pointCount = 16;
 
-    struct Moment {
-        std::uint32_t steps = 0; ///< From now.
+    struct ForecastPoint {
+        std::uint32_t steps = 0; ///< Distance from now.
         double mean = 0;
         double variance = 0;
     };
 
-    /// An answer is hardly ever so many times as long as its caller expects.
-    constexpr std::uint64_t mostTimes = 8;
+    /// Answers are hardly ever longer than this many times their estimate.
+    constexpr std::uint64_t maxLengthFactor = 8;
 
-    /// Tokens that an answer may still have. What callers allow may be far beyond what any answer needs: moments spread over all of it
-    /// would lie so far apart that the peak, which is near, falls between two of them.
-    std::uint32_t leftAtMost(const MemoryUse& use)
+    /// The most tokens that an answer can plausibly still generate. A caller's upper limit can be far beyond any real answer: points spread
+    /// over all of it would be so far apart that the peak, which is near, would fall between two of them.
+    std::uint32_t maxRemaining(const MemoryUse& use)
     {
-        auto plausible = std::max<std::uint64_t>(mostTimes * use.expected, 2ull * use.generated);
-        auto most = std::min<std::uint64_t>(use.most, plausible);
-        return static_cast<std::uint32_t>(most - std::min<std::uint64_t>(most, use.generated));
+        auto plausible = std::max<std::uint64_t>(maxLengthFactor * use.expected, 2ull * use.generated);
+        auto limit = std::min<std::uint64_t>(use.maxTokens, plausible);
+        return static_cast<std::uint32_t>(limit - std::min<std::uint64_t>(limit, use.generated));
     }
 
-    std::array<Moment, moments> momentsUntil(std::uint32_t horizon)
+    std::array<ForecastPoint, pointCount> pointsUntil(std::uint32_t horizon)
     {
-        std::array<Moment, moments> list;
-        for (std::size_t i = 0; i < moments; ++i) {
-            double part = static_cast<double>(i) / (moments - 1);
-            list.at(i).steps = static_cast<std::uint32_t>(horizon * part * part);
+        std::array<ForecastPoint, pointCount> list;
+        for (std::size_t i = 0; i < pointCount; ++i) {
+            double fraction = static_cast<double>(i) / (pointCount - 1);
+            list.at(i).steps = static_cast<std::uint32_t>(horizon * fraction * fraction);
         }
         return list;
     }
 
-    void add(Moment& moment, const MemoryUse& use, const AnswerLengths& lengths)
+    void add(ForecastPoint& point, const MemoryUse& use, const AnswerLengths& lengths)
     {
-        if (moment.steps > leftAtMost(use))
+        if (point.steps > maxRemaining(use))
             return;
-        auto length = use.generated + moment.steps;
-        double holds = use.promptTokens + length;
-        auto runs = lengths.survival(use.expected, use.generated, length);
-        moment.mean += runs * holds;
-        moment.variance += runs * (1 - runs) * holds * holds;
+        auto length = use.generated + point.steps;
+        double tokens = use.promptTokens + length;
+        auto probability = lengths.survival(use.expected, use.generated, length);
+        point.mean += probability * tokens;
+        point.variance += probability * (1 - probability) * tokens * tokens;
     }
 
 } // namespace
@@ -56,12 +56,12 @@
 {
     std::uint32_t horizon = 0;
     for (const auto& use : uses)
-        horizon = std::max(horizon, leftAtMost(use));
+        horizon = std::max(horizon, maxRemaining(use));
     double peak = 0;
-    for (auto& moment : momentsUntil(horizon)) {
+    for (auto& point : pointsUntil(horizon)) {
         for (const auto& use : uses)
-            add(moment, use, lengths);
-        peak = std::max(peak, moment.mean + deviations * std::sqrt(moment.variance));
+            add(point, use, lengths);
+        peak = std::max(peak, point.mean + deviations * std::sqrt(point.variance));
     }
     return peak;
 }
--- a/src/request/engine/MemoryForecast.h
+++ b/src/request/engine/MemoryForecast.h
@@ -1,14 +1,14 @@
 /** \file
- * How full a decode engine's KV memory will become with the answers that run there.
+ * Forecasts the peak use of a decode engine's KV memory by its running answers.
  *
- * An answer holds its prompt from its first token on and grows until its last. Answers that began at different times end at different
- * times, so the most that they hold together is well below the sum of what each will hold at its end: with prompts of 5,100 tokens and
- * answers of 5,400, an engine that reserves prompt and 1.3 times the expected answer for each runs 6 of them in 78,000 tokens and
- * leaves a third of that empty, while the same answers fit 9 at a time.
+ * An answer occupies memory for its prompt from its first token on, and grows until its last one. Answers that start at different times
+ * end at different times, so their joint peak is well below the sum of their peaks. With prompts of 5,100 tokens and answers of 5,400, an
+ * engine that reserves the prompt and 1.3 times the expected answer for each runs 6 of them in 78,000 tokens and leaves a third of the
+ * memory empty; 9 of the same answers fit at a time.
  *
- * All answers of an engine grow by a token a step, so the forecast goes by tokens generated from now, not by time: at `n` steps from
- * now an answer holds its present tokens and n more if it is still running (AnswerLengths), else nothing. For each n that gives a mean
- * and a variance of the sum; the forecast is the highest mean with `deviations` standard deviations added.
+ * All answers of an engine grow by one token a step, so the forecast is over steps from now instead of time: n steps from now, an answer
+ * occupies its current tokens plus n if it is still running (AnswerLengths), and nothing otherwise. For each n this gives the mean and the
+ * variance of the sum. The forecast is the maximum over n of the mean plus `deviations` standard deviations.
  */
 #pragma once
 
@@ -19,15 +19,15 @@
 
 namespace wrenhinge {
 
-/// One answer that runs at an engine, or is about to.
+/// The memory use of an answer that is running at an engine or is to be admitted.
 struct MemoryUse {
     std::uint32_t promptTokens = 0;
-    std::uint32_t generated = 0; ///< Tokens so far.
-    std::uint32_t expected = 0; ///< Tokens of the whole answer, as its caller expects.
-    std::uint32_t most = 0; ///< Tokens of the whole answer, at most.
+    std::uint32_t generated = 0; ///< Tokens generated so far.
+    std::uint32_t expected = 0; ///< Length of the whole answer that its caller expects.
+    std::uint32_t maxTokens = 0; ///< Upper limit of the whole answer.
 };
 
-/// The most tokens that these answers will hold together.
+/// The forecast of the most tokens that these answers will occupy together.
 double forecastPeak(std::span<const MemoryUse>, const AnswerLengths&, double deviations);
 
 } // namespace wrenhinge
--- a/src/request/engine/StagePlan.cpp
+++ b/src/request/engine/StagePlan.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-    /// How busy the busier stage is with this split. Prompts queue at a prefill replica, so that stage needs more replicas than it keeps
-    /// busy: more by half the square root of that, which keeps the queue equally short at any size. In proportion, two replicas of a site
-    /// with eleven were left to read for 1.4, and first events waited for 0.6 s in surges; at a site with forty too few were given up.
-    constexpr double prefillSpare = 0.5;
-    double busiest(const Pool& pool, std::size_t prefill, std::size_t decode)
+    /// The utilization of the busier stage with this split. Prompts queue at a prefill replica, so that stage needs more replicas than it
+    /// keeps busy: by a margin of half the square root of that number, which keeps queues equally short at any size. With a proportional
+    /// margin, a site of eleven engines was left with two prefill replicas for a load of 1.4, and first events waited for 0.6 s in surges;
+    /// at a site of forty, too few prefill replicas were moved.
+    constexpr double prefillMargin = 0.5;
+    double maxUtilization(const Pool& pool, std::size_t prefill, std::size_t decode)
     {
-        auto needsPrefill = pool.prefillLoad + prefillSpare * std::sqrt(pool.prefillLoad);
-        return std::max(needsPrefill / static_cast<double>(prefill), pool.decodeLoad / static_cast<double>(decode));
+        auto neededPrefill = pool.prefillLoad + prefillMargin * std::sqrt(pool.prefillLoad);
+        return std::max(neededPrefill / static_cast<double>(prefill), pool.decodeLoad / static_cast<double>(decode));
     }
 
-    /// How many of so many engines had best be prefill replicas.
+    /// The best number of prefill replicas among this many engines.
     std::size_t bestPrefill(const Pool& pool, std::size_t engines)
     {
         std::size_t best = 1;
         for (std::size_t n = 2; n < engines; ++n) {
-            if (busiest(pool, n, engines - n) < busiest(pool, best, engines - best))
+            if (maxUtilization(pool, n, engines - n) < maxUtilization(pool, best, engines - best))
                 best = n;
         }
         return best;
@@ -35,7 +36,7 @@
             std::count_if(pool.engines.begin(), pool.engines.end(), [kind](const Engine& engine) { return engine.kind == kind; }));
     }
 
-    /// One of the zone that has most of this kind, so that what is left stays spread.
+    /// Chooses an engine from the zone with the most engines of this kind, so that the remaining ones stay spread over zones.
     const Engine& engineToChange(const Pool& pool, UpstreamKind from)
     {
         std::map<std::string, int> byZone;
@@ -53,21 +54,21 @@
 
 std::optional<Change> plan(const Pool& pool)
 {
-    auto ownPrefill = countOf(pool, UpstreamKind::Prefill);
-    auto ownDecode = countOf(pool, UpstreamKind::Decode);
-    auto prefill = ownPrefill + pool.becomingPrefill;
-    auto decode = ownDecode + pool.becomingDecode;
+    auto currentPrefill = countOf(pool, UpstreamKind::Prefill);
+    auto currentDecode = countOf(pool, UpstreamKind::Decode);
+    auto prefill = currentPrefill + pool.becomingPrefill;
+    auto decode = currentDecode + pool.becomingDecode;
     if (!prefill || !decode)
         return std::nullopt;
-    auto now = busiest(pool, prefill, decode);
+    auto now = maxUtilization(pool, prefill, decode);
     auto best = bestPrefill(pool, prefill + decode);
-    bool isWorthIt = now >= leastBusy && now >= leastGain * busiest(pool, best, prefill + decode - best);
+    bool isWorthIt = now >= minLoad && now >= minGain * maxUtilization(pool, best, prefill + decode - best);
     if (!isWorthIt)
         return std::nullopt;
-    if (best < prefill && ownPrefill)
+    if (best < prefill && currentPrefill)
         return Change { engineToChange(pool, UpstreamKind::Prefill), UpstreamKind::Decode };
-    bool isPrefillBusy = pool.prefillLoad >= leastPrefillBusy * static_cast<double>(prefill);
-    if (best > prefill && ownDecode && isPrefillBusy)
+    bool isPrefillBusy = pool.prefillLoad >= minPrefillLoad * static_cast<double>(prefill);
+    if (best > prefill && currentDecode && isPrefillBusy)
         return Change { engineToChange(pool, UpstreamKind::Decode), UpstreamKind::Prefill };
     return std::nullopt;
 }
--- a/test/correctness/CatalogueTest.cpp
+++ b/test/correctness/CatalogueTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The catalogues in docs/ list exactly the codes and events of the program.
+ * The tables in docs/ list exactly the program's result codes and events.
  */
 #include "base/EventCode.h"
 #include "base/ResultCode.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// The `| number | NAME |` rows of a page.
+/// Reads the `| number | NAME |` table rows of a page in docs/.
 std::set<std::string> rowsOf(const std::string& file)
 {
     std::ifstream in(std::string(WRENHINGE_DOCS) + "/" + file);
--- a/test/correctness/EngineSubsetTest.cpp
+++ b/test/correctness/EngineSubsetTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Which engines a gateway uses: balance, stability, zones, and what takes the place of engines that are gone.
+ * The subset of engines that a gateway uses: balance, stability, zones, and the replacement of lost engines.
  */
 #include "request/engine/EngineSubset.h"
 #include "request/fleet/ReplicaRegistry.h"
@@ -30,7 +30,7 @@
     return a;
 }
 
-/// A third of the engines read prompts.
+/// A third of the engines are prefill engines.
 UpstreamKind kindOf(int n) { return n / zones % 3 ? UpstreamKind::Decode : UpstreamKind::Prefill; }
 
 ReplicaRegistry site(int engines)
@@ -48,7 +48,7 @@
     return subset;
 }
 
-/// Of one stage, and in one zone if that is named.
+/// The number of engines of one stage in the subset; only those in `zone`, if given.
 std::size_t count(const EngineSubset& subset, const ReplicaRegistry& registry, UpstreamKind kind, const std::string& zone = {})
 {
     return static_cast<std::size_t>(std::count_if(subset.ids().begin(), subset.ids().end(), [&](const std::string& id) {
@@ -65,13 +65,13 @@
 
 } // namespace
 
-TEST_CASE("a dozen engines are all used")
+TEST_CASE("at a site of twelve engines all are used")
 {
     auto registry = site(12);
     CHECK(chosenBy(1, registry).ids().size() == 12);
 }
 
-TEST_CASE("of many engines a bounded number of each stage is used, two thirds of them in the gateway's own zone")
+TEST_CASE("at a large site a bounded number of engines of each stage is used, two thirds of them in the gateway's own zone")
 {
     auto registry = site(180);
     auto subset = chosenBy(3, registry);
@@ -83,7 +83,7 @@
     CHECK_FALSE(subset.isFull("another", UpstreamKind::Decode));
 }
 
-TEST_CASE("a zone that lacks engines is made up for by the others")
+TEST_CASE("if the own zone has too few engines, more are used in other zones")
 {
     auto registry = site(180);
     for (int n = 3; n < 180; n += zones)
@@ -93,7 +93,7 @@
     CHECK(count(subset, registry, UpstreamKind::Decode) == EngineSubset::decodeEngines);
 }
 
-TEST_CASE("each engine is used by about equally many gateways, at the size of today's sites and at the size to design for")
+TEST_CASE("each engine is used by about equally many gateways, at the current and at the maximum planned site size")
 {
     for (auto [gateways, engines] : { std::pair(105, 180), std::pair(1400, 10000) }) {
         CAPTURE(gateways);
@@ -107,16 +107,16 @@
                 ++users[id];
         }
         auto mean = static_cast<double>(links) / engines;
-        auto most = std::max_element(users.begin(), users.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
-        // A random choice spreads by the root of its mean; one in 10,000 lies within four and a half of these.
-        CHECK(most->second <= mean + 4.5 * std::sqrt(mean) + 1);
+        auto mostUsed = std::max_element(users.begin(), users.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
+        // The standard deviation of a random choice is the square root of its mean. The largest of 10,000 is within 4.5 deviations.
+        CHECK(mostUsed->second <= mean + 4.5 * std::sqrt(mean) + 1);
         CHECK(links == static_cast<std::size_t>(gateways) * (EngineSubset::prefillEngines + EngineSubset::decodeEngines));
     }
 }
 
-TEST_CASE("an engine that comes or goes changes at most one choice of a gateway")
+TEST_CASE("an engine that joins or leaves changes at most one engine of a gateway's subset")
 {
-    CHECK(rc::check("any engine of a site that goes, and comes back", [] {
+    CHECK(rc::check("any engine of a site that leaves and returns", [] {
         auto registry = site(180);
         auto gone = *rc::gen::inRange(0, 180);
         auto gateway = *rc::gen::inRange(0, 105);
@@ -132,11 +132,11 @@
     }));
 }
 
-TEST_CASE("engines that drain or are silent make room for others at once")
+TEST_CASE("draining and silent engines are replaced at once")
 {
     auto registry = site(180);
     auto before = chosenBy(1, registry);
-    // Half of the engines, among them most of those that were chosen, are heard of no more.
+    // Half of the engines become silent, including most of the chosen ones.
     auto later = start + ReplicaRegistry::silentAfter + 1s;
     for (int n = 0; n < 180; n += 2)
         registry.renew(engine(n, kindOf(n)).run(), Duration::zero(), later);
@@ -144,11 +144,11 @@
     CHECK(count(after, registry, UpstreamKind::Decode) == EngineSubset::decodeEngines);
     for (const auto& id : after.ids())
         CHECK_FALSE(registry.entries().at(id).isSilent(later));
-    auto leaving = engine(2, kindOf(2));
-    leaving.state = ReplicaState::Draining;
-    leaving.sequence = 1;
-    registry.announce(leaving, Duration::zero(), later);
-    CHECK_FALSE(chosenBy(1, registry, later).ids().contains(leaving.id));
+    auto draining = engine(2, kindOf(2));
+    draining.state = ReplicaState::Draining;
+    draining.sequence = 1;
+    registry.announce(draining, Duration::zero(), later);
+    CHECK_FALSE(chosenBy(1, registry, later).ids().contains(draining.id));
 }
 
 // --- At a gateway -----------------------------------------------------------------------------------------------
@@ -157,7 +157,7 @@
 
 using namespace wrenhinge::forward;
 
-/// A gateway that hears of all engines, and the sidecars that it wants to be linked to.
+/// A gateway that receives the announcements of all engines, and the sidecars that it wants links to.
 class Gateway {
 public:
     Gateway() { post(RegistryHeartbeat { {}, 1 }); }
@@ -172,8 +172,8 @@
         }
     }
 
-    /// A second in which these engines are heard of.
-    void second(int engines)
+    /// Advances one second, with a heartbeat for the first `engines` engines.
+    void advanceSecond(int engines)
     {
         now += 1s;
         RegistryHeartbeat heartbeat;
@@ -194,32 +194,32 @@
 
 } // namespace
 
-TEST_CASE("a gateway links to the sidecars of the engines that it uses, and to no others for long")
+TEST_CASE("a gateway keeps links only to the sidecars of the engines that it uses")
 {
-    // Symptom: gateways of a large site are late at everything, with idle engines. Sequence: each of 105 gateways links to each of 180
-    // sidecars, and is told of each change of room. Cause: what a gateway hears grew with the number of engines.
+    // Guards against a load that grows with the number of engines: each of 105 gateways had links to all of 180 sidecars and received each
+    // change of headroom. Gateways were late with everything while engines were idle.
     Gateway gateway;
     for (int n = 0; n < 180; ++n)
         gateway.post(RelayedAnnouncement { engine(n, kindOf(n)), Duration::zero() });
     for (int i = 0; i < 20; ++i)
-        gateway.second(180);
+        gateway.advanceSecond(180);
     CHECK(gateway.links.size() == EngineSubset::prefillEngines + EngineSubset::decodeEngines);
 }
 
-TEST_CASE("sidecars of engines that are gone without a word are not dialled for ever")
+TEST_CASE("a gateway stops dialling the sidecars of engines that were lost without withdrawing")
 {
-    // Symptom: a gateway dials addresses where nobody answers, once a second each, for as long as it runs. Sequence: engines are lost for
-    // good and say nothing. Cause: an address was forgotten only when its engine withdrew itself.
+    // Guards against dialling the addresses of permanently lost engines once a second each, for as long as the gateway runs: an address was
+    // dropped only when its engine withdrew.
     Gateway gateway;
     for (int n = 0; n < 12; ++n)
         gateway.post(RelayedAnnouncement { engine(n, kindOf(n)), Duration::zero() });
     CHECK(gateway.links.size() == 12);
     for (int i = 0; i < 25; ++i)
-        gateway.second(10);
+        gateway.advanceSecond(10);
     CHECK(gateway.links.size() == 10);
 }
 
-TEST_CASE("a gateway that hears no controller keeps the engines that it uses")
+TEST_CASE("a gateway without contact to any controller keeps its subset of engines")
 {
     Gateway gateway;
     for (int n = 0; n < 12; ++n)
--- a/test/correctness/StageTest.cpp
+++ b/test/correctness/StageTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Engines that change their stage: what gateways report, what is planned, and that two controllers never order in turns.
+ * Stage changes of engines: the gateways' load reports, the plan, and the orders, which two controllers must never send alternately.
  */
 #include "request/engine/EngineLoad.h"
 #include "request/engine/StageCoordinator.h"
@@ -16,7 +16,7 @@
 constexpr Instant start { std::chrono::seconds(1000) };
 constexpr Duration lease = 3s;
 
-/// A pool of engines in two zones, in turn.
+/// A pool of engines that alternate between two zones.
 Pool pool(std::size_t prefill, std::size_t decode, double prefillLoad, double decodeLoad)
 {
     Pool pool;
@@ -32,7 +32,7 @@
 constexpr ReplicaStart firstStart { 1'764'700'000'000 };
 constexpr ReplicaStart secondStart { 1'764'700'030'000 };
 
-Announcement engine(const std::string& id, UpstreamKind kind, std::uint64_t sequence = 1, ReplicaStart born = {})
+Announcement engine(const std::string& id, UpstreamKind kind, std::uint64_t sequence = 1, ReplicaStart startedAt = {})
 {
     Announcement a;
     a.id = id;
@@ -42,14 +42,14 @@
     a.slots = 64;
     a.kind = kind;
     a.sequence = sequence;
-    a.start = born;
+    a.start = startedAt;
     return a;
 }
 
-/// A controller with three prefill and three decode replicas, of which the decode replicas are full, or with more.
-class Controller {
+/// A controller's stage coordinator, by default with three prefill replicas and three decode replicas, which are fully used.
+class ControllerHarness {
 public:
-    explicit Controller(int prefill = 3, int decode = 3)
+    explicit ControllerHarness(int prefill = 3, int decode = 3)
     {
         for (int n = 1; n <= prefill; ++n)
             m_registry.announce(engine("p" + std::to_string(n), UpstreamKind::Prefill), {}, now);
@@ -57,14 +57,14 @@
             m_registry.announce(engine("d" + std::to_string(n), UpstreamKind::Decode), {}, now);
     }
 
-    void post(const Event& event) { m_last = m_orders.step(event, now); }
-    /// Passes time with a report and a tick every half second. \returns the first thing that was done, if any.
-    std::optional<Effect> pass(Duration d)
+    void post(const Event& event) { m_effects = m_coordinator.step(event, now); }
+    /// Advances the time with a load report and a tick every half second. \returns the first effect, if any.
+    std::optional<Effect> advance(Duration d)
     {
         for (auto end = now + d; now < end;) {
             tick(500ms);
-            if (!m_last.empty())
-                return m_last.front();
+            if (!m_effects.empty())
+                return m_effects.front();
         }
         return std::nullopt;
     }
@@ -76,85 +76,85 @@
         post(LoadReported { PeerId(7), { { { "llm", busy } } } });
         post(Tick {});
     }
-    /// Leads, and goes on until an order is given.
-    SendOrder order()
+    /// Becomes the leader and advances until an order is sent.
+    SendOrder sendOrder()
     {
         post(LeadershipChanged { 1 });
-        auto read = pass(10s);
+        auto read = advance(10s);
         REQUIRE(read);
         REQUIRE(std::holds_alternative<ReadEngine>(*read));
-        return order(std::get<ReadEngine>(*read));
+        return sendOrder(std::get<ReadEngine>(*read));
     }
-    SendOrder order(const ReadEngine& read)
+    SendOrder sendOrder(const ReadEngine& read)
     {
         post(EngineRead { read.order, EngineState { 4, false } });
-        auto take = std::get<AcquireToken>(m_last.front());
-        CHECK(take.engine == read.engine.run.id);
-        post(TokenAcquired { take.order, FencingToken(9) });
-        return std::get<SendOrder>(m_last.front());
+        auto acquire = std::get<AcquireToken>(m_effects.front());
+        CHECK(acquire.engine == read.engine.run.id);
+        post(TokenAcquired { acquire.order, FencingToken(9) });
+        return std::get<SendOrder>(m_effects.front());
     }
-    template <typename T> std::vector<T> did() const
+    template <typename T> std::vector<T> effectsOf() const
     {
         std::vector<T> found;
-        for (const auto& effect : m_last) {
+        for (const auto& effect : m_effects) {
             if (const auto* e = std::get_if<T>(&effect))
                 found.push_back(*e);
         }
         return found;
     }
     ReplicaRegistry& registry() { return m_registry; }
-    /// All engines start, or start again, under their ids.
-    void startAll(ReplicaStart born)
+    /// Starts or restarts all engines under their ids.
+    void startAll(ReplicaStart startedAt)
     {
         for (const auto* id : { "p1", "p2", "p3" })
-            m_registry.announce(engine(id, UpstreamKind::Prefill, 1, born), {}, now);
+            m_registry.announce(engine(id, UpstreamKind::Prefill, 1, startedAt), {}, now);
         for (const auto* id : { "d1", "d2", "d3" })
-            m_registry.announce(engine(id, UpstreamKind::Decode, 1, born), {}, now);
+            m_registry.announce(engine(id, UpstreamKind::Decode, 1, startedAt), {}, now);
     }
-    void startAgain(const ReplicaRun& run) { m_registry.announce(engine(run.id, UpstreamKind::Prefill, 1, secondStart), {}, now); }
+    void restart(const ReplicaRun& run) { m_registry.announce(engine(run.id, UpstreamKind::Prefill, 1, secondStart), {}, now); }
 
     Instant now = start;
-    StageLoad busy { 1.0, 3.0, 6s }; ///< What the gateway reports.
+    StageLoad busy { 1.0, 3.0, 6s }; ///< The load that the gateway reports.
 
 private:
     ReplicaRegistry m_registry;
-    StageCoordinator m_orders { m_registry, lease, "c1" };
-    StageCoordinator::Effects m_last;
+    StageCoordinator m_coordinator { m_registry, lease, "c1" };
+    StageCoordinator::Effects m_effects;
 };
 
 } // namespace
 
-TEST_CASE("the plan moves an engine to the busier stage only if that gains enough, and never the last one")
+TEST_CASE("the plan moves an engine to the busier stage only if that gains enough, and never the last one of a stage")
 {
-    // Decode replicas are full while prefill replicas wait.
+    // Decode replicas are fully used while prefill replicas have capacity.
     auto change = plan(pool(3, 3, 1.0, 2.8));
     REQUIRE(change);
     CHECK(change->to == UpstreamKind::Decode);
     CHECK(change->engine.run.id == "e0"); // Two of the three prefill replicas are in its zone.
-    // The split is right for this work, at any load.
+    // This split is the best one for this work at any load.
     for (double load : { 0.1, 0.5, 1.0, 2.0 })
         CHECK(!plan(pool(4, 8, 1.4 * load, 4.4 * load)));
-    // Prefill binds.
+    // Prefill is the bottleneck.
     change = plan(pool(1, 5, 1.2, 1.5));
     REQUIRE(change);
     CHECK(change->to == UpstreamKind::Prefill);
-    // Nobody is refused at this load, however it is split.
+    // At this load no request is refused with either split.
     CHECK(!plan(pool(5, 7, 0.5, 2.0)));
-    // The last one of a stage stays, and a stage without any is beyond a plan.
+    // The last engine of a stage stays, and there is no plan if a stage has none.
     CHECK(!plan(pool(1, 3, 0.1, 3.0)));
     CHECK(!plan(pool(0, 3, 1.0, 3.0)));
-    // One that is on its way counts already.
+    // An engine that is changing counts for its new stage.
     auto changing = pool(3, 3, 1.0, 2.8);
     changing.engines.erase(changing.engines.begin());
     changing.becomingDecode = 1;
     CHECK(!plan(changing));
 }
 
-TEST_CASE("many engines are moved one by one as far as a few are")
+TEST_CASE("at a large site engines are moved one by one until the split is right")
 {
-    // Symptom: 25% of generations are refused for want of memory beside 14 prefill replicas that are busy for a third of their time.
-    // Sequence: forty engines, a load of 4.5 prefill and 23 decode replicas. Cause: one engine of forty changes the split by 4%, and each
-    // change was held to gain a tenth by itself.
+    // Guards against a plan that demands a tenth from each single change: with forty engines and a load of 4.5 prefill and 23 decode
+    // replicas, one engine changes the split by only 4%. No change was made, and 25% of generations were refused for lack of memory while
+    // 14 prefill replicas were busy for a third of their time.
     auto split = pool(14, 26, 4.5, 23);
     std::size_t changes = 0;
     for (auto change = plan(split); change; change = plan(split), ++changes) {
@@ -169,14 +169,14 @@
     CHECK(changes <= 7);
 }
 
-TEST_CASE("prefill replicas that are hardly busy get no further one")
+TEST_CASE("no engine is moved to prefill replicas that are hardly used")
 {
-    // Symptom: a decode replica is taken away 1 s into the first surge. Sequence: two of eight gateways have reported. Cause: the plan
-    // went by the ratio of two loads that were both known in part.
+    // Guards against a plan based on the ratio of two incomplete loads: 1 s into the first surge, when two of eight gateways had reported,
+    // a decode replica was moved.
     CHECK(!plan(pool(4, 7, 0.51, 1.53)));
 }
 
-TEST_CASE("a plan that was carried out is not taken back while the work stays the same")
+TEST_CASE("a change is not reversed while the load stays the same")
 {
     for (double prefill = 0.1; prefill < 6; prefill += 0.1) {
         for (std::size_t n = 1; n < 8; ++n) {
@@ -192,15 +192,15 @@
     }
 }
 
-TEST_CASE("a gateway reports the work that it brings, not what waits at a slow or dark replica")
+TEST_CASE("a gateway reports the load that it adds, not what is queued at a slow or unresponsive replica")
 {
     EngineFacts facts { 64, 60000, 2s, 500ms, 6s };
     EngineLoad load;
     auto now = start;
     load.take(now);
     std::vector<Instant> running;
-    // Ten prompts of 5,000 tokens a second, each read in 0.1 s and then 6,000 tokens of a replica for 3 s: three replicas' memory, and
-    // the work of four, as a quarter of each is kept for what its answers may become.
+    // Ten prompts of 5,000 tokens a second, each with a prefill of 0.1 s and then 6,000 tokens of memory for 3 s. That is the memory of
+    // three replicas and the load of four, as a quarter of each is reserved for the growth of answers.
     EngineLoadReport report;
     for (int tick = 1; tick <= 100; ++tick) {
         now += 100ms;
@@ -216,15 +216,15 @@
     }
     REQUIRE(report.services.contains("llm"));
     CHECK(report.services.at("llm").prefill == doctest::Approx(1.0).epsilon(0.05));
-    CHECK(report.services.at("llm").decode == doctest::Approx(3.0 / EngineLoad::usableMemory).epsilon(0.1));
+    CHECK(report.services.at("llm").decode == doctest::Approx(3.0 / EngineLoad::meanMemoryUse).epsilon(0.1));
     CHECK(report.services.at("llm").stageChange == 6s);
     CHECK(load.take(now + 1s).services.empty());
 }
 
-TEST_CASE("the first answers to end do not make answers look short")
+TEST_CASE("the measured time of answers is not biased by the short ones, which end first")
 {
-    // Symptom: decode replicas are ordered to the prefill stage seconds after a restart. Sequence: answers take 1 to 9 s; after 6 s
-    // mostly short ones have ended, of 2.4 s on average. Cause: the mean of these was taken for the mean of all, 5 s.
+    // Guards against decode replicas being ordered to the prefill stage seconds after a restart. Answers take 1 to 9 s, 5 s on average.
+    // After 6 s mostly short ones have ended, and a mean over these alone is 2.4 s.
     EngineFacts facts { 64, 60000, 2s, 500ms, 6s };
     EngineLoad load;
     auto now = start;
@@ -242,29 +242,29 @@
             return true;
         });
     }
-    // Ten a second hold the memory of five replicas.
+    // Ten requests a second occupy the memory of five replicas.
     auto report = load.take(now);
     REQUIRE(report.services.contains("llm"));
-    CHECK(report.services.at("llm").decode == doctest::Approx(5 / EngineLoad::usableMemory).epsilon(0.3));
+    CHECK(report.services.at("llm").decode == doctest::Approx(5 / EngineLoad::meanMemoryUse).epsilon(0.3));
 }
 
-TEST_CASE("an order names the engine, a token of the log and the orders accepted before; gateways then leave the engine alone")
+TEST_CASE("an order contains the engine, a fencing token and the count of accepted orders, and gateways stop using the engine")
 {
-    Controller controller;
-    auto give = controller.order();
-    CHECK(give.engine.run.id.starts_with("p"));
-    CHECK(give.to == UpstreamKind::Decode);
-    CHECK(give.token == FencingToken(9));
-    CHECK(give.acceptedBefore == 4);
-    controller.post(OrderAnswered { give.order, OrderAnswer::Accepted });
-    REQUIRE(controller.did<StageChange>().size() == 1);
-    auto change = controller.did<StageChange>().front();
-    CHECK(change.id == give.engine.run.id);
+    ControllerHarness controller;
+    auto sent = controller.sendOrder();
+    CHECK(sent.engine.run.id.starts_with("p"));
+    CHECK(sent.to == UpstreamKind::Decode);
+    CHECK(sent.token == FencingToken(9));
+    CHECK(sent.acceptedBefore == 4);
+    controller.post(OrderAnswered { sent.order, OrderAnswer::Accepted });
+    REQUIRE(controller.effectsOf<StageChange>().size() == 1);
+    auto change = controller.effectsOf<StageChange>().front();
+    CHECK(change.id == sent.engine.run.id);
 
-    // A gateway that hears of it places nothing there until the engine announces the new stage.
+    // A gateway that receives the change sends nothing to the engine until it announces the new stage.
     ReplicaTable table("z", 1);
     auto now = start;
-    table.registry().announce(engine(give.engine.run.id, UpstreamKind::Prefill), {}, now);
+    table.registry().announce(engine(sent.engine.run.id, UpstreamKind::Prefill), {}, now);
     ReplicaTable::Need need;
     need.service = "llm";
     need.kind = UpstreamKind::Prefill;
@@ -273,142 +273,142 @@
     CHECK(!table.registry().changeStage(change, now));
     CHECK(!table.choose(need, {}, now));
     need.kind = UpstreamKind::Decode;
-    table.registry().announce(engine(give.engine.run.id, UpstreamKind::Decode, 2), {}, now + 6s);
+    table.registry().announce(engine(sent.engine.run.id, UpstreamKind::Decode, 2), {}, now + 6s);
     CHECK(table.choose(need, {}, now + 6s));
-    // An order that came to nothing does not keep it out for good.
-    table.registry().changeStage({ give.engine.run.id, UpstreamKind::Prefill, 10s }, now + 7s);
+    // If the order was never carried out, the engine is used again after the stated time.
+    table.registry().changeStage({ sent.engine.run.id, UpstreamKind::Prefill, 10s }, now + 7s);
     CHECK(!table.choose(need, {}, now + 16s));
     CHECK(table.choose(need, {}, now + 17s));
 }
 
-TEST_CASE("a new leader waits until the former one's last order lies a lease back")
+TEST_CASE("a new leader waits until the former leader's last order is a lease old")
 {
-    // Symptom: an engine gets orders from two controllers in turns. Sequence: the leader gives an order, is cut off, and the next
-    // one gives its own at once. Cause: what the former one had sent was not known to be old.
-    Controller controller;
-    CHECK(!controller.pass(10s));
+    // Guards against orders from two controllers alternately: the leader sends an order and is partitioned, and the next leader sends its
+    // own at once, while the first one can still be in flight.
+    ControllerHarness controller;
+    CHECK(!controller.advance(10s));
     controller.post(LeadershipChanged { 5 });
-    CHECK(!controller.pass(lease + StageCoordinator::beyondLease - 500ms));
-    CHECK(controller.pass(500ms));
-    // Another term has another leader between: the wait begins again, and the order under way is dropped.
+    CHECK(!controller.advance(lease + StageCoordinator::leaseMargin - 500ms));
+    CHECK(controller.advance(500ms));
+    // There was another leader in between: the wait starts again, and the order in progress is dropped.
     controller.post(LeadershipChanged { 7 });
-    CHECK(!controller.pass(lease + StageCoordinator::beyondLease - 500ms));
-    CHECK(controller.pass(500ms));
+    CHECK(!controller.advance(lease + StageCoordinator::leaseMargin - 500ms));
+    CHECK(controller.advance(500ms));
 }
 
-TEST_CASE("a controller that was suspended between token and order gives none")
+TEST_CASE("a controller that was suspended between token and order sends no order")
 {
-    // Symptom: an engine gets an older order after a newer one. Sequence: the leader takes a token, is suspended for seconds while
-    // another one leads and orders, and goes on. Cause: it still held the token.
-    Controller controller;
+    // Guards against an older order after a newer one: the leader acquires a token and is suspended for seconds, in which another leader
+    // sends an order. When it resumes, it still has its token.
+    ControllerHarness controller;
     controller.post(LeadershipChanged { 1 });
-    auto read = std::get<ReadEngine>(*controller.pass(10s));
+    auto read = std::get<ReadEngine>(*controller.advance(10s));
     controller.post(EngineRead { read.order, EngineState { 0, false } });
-    REQUIRE(controller.did<AcquireToken>().size() == 1);
+    REQUIRE(controller.effectsOf<AcquireToken>().size() == 1);
     controller.now += 8s;
     controller.post(TokenAcquired { read.order, FencingToken(3) });
-    CHECK(controller.did<SendOrder>().empty());
-    CHECK(controller.did<LogEvent>().front().code == EventCode::StageOrderFailed);
+    CHECK(controller.effectsOf<SendOrder>().empty());
+    CHECK(controller.effectsOf<LogEvent>().front().code == EventCode::StageOrderFailed);
 }
 
-TEST_CASE("after an order without an answer none is given until it can't be carried out any more")
+TEST_CASE("after an order without a reply, none is sent until it can no longer be carried out")
 {
-    // Symptom: an engine goes to the wrong stage seconds after it was ordered back. Sequence: an order has no answer, the next one is
-    // given, and then the first is carried out.
-    for (bool isTold : { true, false }) {
-        Controller controller;
-        auto give = controller.order();
-        if (isTold)
-            controller.post(OrderAnswered { give.order, OrderAnswer::None });
+    // Guards against an engine in the wrong stage: an order gets no reply, the next one is sent, and then the first one is carried out,
+    // seconds after the engine was ordered back.
+    for (bool isReported : { true, false }) {
+        ControllerHarness controller;
+        auto sent = controller.sendOrder();
+        if (isReported)
+            controller.post(OrderAnswered { sent.order, OrderAnswer::None });
         else
-            CHECK(std::holds_alternative<LogEvent>(*controller.pass(StageCoordinator::stepLimit + 500ms)));
-        CHECK(!controller.pass(StageCoordinator::lateOrders - 2s));
-        CHECK(controller.pass(3s));
-        // The answer to the former order is late now.
-        controller.post(OrderAnswered { give.order, OrderAnswer::Accepted });
-        CHECK(controller.did<StageChange>().empty());
+            CHECK(std::holds_alternative<LogEvent>(*controller.advance(StageCoordinator::stepTimeout + 500ms)));
+        CHECK(!controller.advance(StageCoordinator::unansweredOrderPause - 2s));
+        CHECK(controller.advance(3s));
+        // A reply to the former order is late now.
+        controller.post(OrderAnswered { sent.order, OrderAnswer::Accepted });
+        CHECK(controller.effectsOf<StageChange>().empty());
     }
 }
 
-TEST_CASE("an engine that is busy, silent or refuses is left for another one")
+TEST_CASE("if an engine is busy, doesn't reply or refuses, another one is tried")
 {
     for (int answer = 0; answer < 3; ++answer) {
-        Controller controller;
+        ControllerHarness controller;
         controller.post(LeadershipChanged { 1 });
-        auto read = std::get<ReadEngine>(*controller.pass(10s));
+        auto read = std::get<ReadEngine>(*controller.advance(10s));
         if (answer == 0) {
             controller.post(EngineRead { read.order, std::nullopt });
         } else if (answer == 1) {
             controller.post(EngineRead { read.order, EngineState { 0, true } });
         } else {
-            auto give = controller.order(read);
-            controller.post(OrderAnswered { give.order, OrderAnswer::Refused });
+            auto sent = controller.sendOrder(read);
+            controller.post(OrderAnswered { sent.order, OrderAnswer::Refused });
         }
-        auto next = controller.pass(2s);
-        // The engine that is left out counts for the stage that it may be changing from, so the plan may still want another one.
+        auto next = controller.advance(2s);
+        // The paused engine counts for its current stage, so the plan still asks for a change.
         REQUIRE(next);
         CHECK(std::get<ReadEngine>(*next).engine.run.id != read.engine.run.id);
     }
 }
 
-TEST_CASE("a further change in the same direction follows soon, one back only after the load has shown what the first did")
+TEST_CASE("a further change in the same direction follows soon, one in the other direction only after the load has settled")
 {
-    Controller controller;
-    auto give = controller.order();
-    controller.post(OrderAnswered { give.order, OrderAnswer::Accepted });
-    auto from = give.engine.run.id;
-    controller.registry().changeStage(controller.did<StageChange>().front(), controller.now);
-    auto givenAt = controller.now;
-    // Still far too much for the decode replicas: the next engine follows.
+    ControllerHarness controller;
+    auto sent = controller.sendOrder();
+    controller.post(OrderAnswered { sent.order, OrderAnswer::Accepted });
+    auto from = sent.engine.run.id;
+    controller.registry().changeStage(controller.effectsOf<StageChange>().front(), controller.now);
+    auto orderedAt = controller.now;
+    // The decode replicas are still overloaded: the next engine follows.
     controller.busy = { 0.1, 6.0, 6s };
-    CHECK(StageCoordinator::nextInDirection <= 2s);
-    auto next = controller.pass(2s); // Two reports of the load.
+    CHECK(StageCoordinator::sameDirectionPause <= 2s);
+    auto next = controller.advance(2s); // Two reports of the load.
     REQUIRE(next);
     CHECK(std::get<ReadEngine>(*next).engine.run.id != from);
     controller.post(EngineRead { std::get<ReadEngine>(*next).order, std::nullopt });
-    // Now prefill binds, as far as one can see: nothing is taken back before the change has ended and settled.
+    // Now prefill looks like the bottleneck: nothing is reversed before the change has ended and the load has settled.
     controller.busy = { 6.0, 0.5, 6s };
-    CHECK(!controller.pass(givenAt + 6s + StageCoordinator::settle - controller.now - 500ms));
-    auto back = controller.pass(1s);
+    CHECK(!controller.advance(orderedAt + 6s + StageCoordinator::settleTime - controller.now - 500ms));
+    auto back = controller.advance(1s);
     REQUIRE(back);
     CHECK(std::get<ReadEngine>(*back).engine.kind == UpstreamKind::Decode);
 }
 
-TEST_CASE("the split of a large site follows its load as fast as that of a small one")
+TEST_CASE("the split of a large site adapts as fast as that of a small one")
 {
-    // Symptom: in a surge callers are refused while a third of 63 prefill engines is idle. Sequence: the plan wants 32 engines of 180 to
-    // change to the decode stage, and one changes a second. Cause: the pause between two orders did not depend on how many there are.
+    // Guards against a pause between orders that doesn't depend on the number of engines. At one change a second, 32 of 180 engines took
+    // 32 s to change to the decode stage; in a surge callers were refused while a third of 63 prefill engines was idle.
     for (auto [prefill, decode] : { std::pair(63, 117), std::pair(4, 7) }) {
         CAPTURE(prefill);
-        Controller controller(prefill, decode);
+        ControllerHarness controller(prefill, decode);
         controller.busy = { 0.28 * prefill, 0.82 * decode, 6s };
         controller.post(LeadershipChanged { 1 });
-        REQUIRE(controller.pass(10s));
+        REQUIRE(controller.advance(10s));
         std::size_t changes = 0;
         for (auto end = controller.now + 8s; controller.now < end;) {
-            if (auto reads = controller.did<ReadEngine>(); !reads.empty()) {
-                auto give = controller.order(reads.front());
-                controller.post(OrderAnswered { give.order, OrderAnswer::Accepted });
-                controller.registry().announce(engine(give.engine.run.id, give.to, 2), {}, controller.now);
+            if (auto reads = controller.effectsOf<ReadEngine>(); !reads.empty()) {
+                auto sent = controller.sendOrder(reads.front());
+                controller.post(OrderAnswered { sent.order, OrderAnswer::Accepted });
+                controller.registry().announce(engine(sent.engine.run.id, sent.to, 2), {}, controller.now);
                 ++changes;
             }
             controller.tick(100ms);
         }
         CHECK(changes > 0);
         CHECK(changes <= static_cast<std::size_t>(std::max(8, 8 * (prefill + decode) / 40)));
-        // Within those 8 s all that the plan wants has been ordered.
-        CHECK(!controller.pass(3s));
+        // All planned changes were ordered within these 8 s.
+        CHECK(!controller.advance(3s));
     }
 }
 
-TEST_CASE("an engine that missed an announcement does not count in a plan")
+TEST_CASE("an engine whose announcement is overdue does not count in a plan")
 {
-    // Symptom: a prefill replica is ordered to the decode stage and another one back 11 s later. Sequence: two engines crash, and new ones
-    // come. Cause: for 4.5 s the crashed ones counted beside these.
-    Controller controller;
+    // Guards against counting crashed engines: two engines crashed and were replaced, and for 4.5 s the plan counted both the old and the
+    // new ones. A prefill replica was ordered to the decode stage, and another one back 11 s later.
+    ControllerHarness controller;
     for (const auto* id : { "p4", "p5", "p6" })
         controller.registry().announce(engine(id, UpstreamKind::Prefill), {}, controller.now);
-    // With six prefill replicas one would be given away, with the three that are there none.
+    // With six prefill replicas one would be moved, with the three live ones none.
     controller.busy = { 2.0, 2.8, 6s };
     controller.post(LeadershipChanged { 5 });
     bool isOrdering = false;
@@ -420,45 +420,44 @@
             controller.registry().renew({ id, {} }, ReplicaRegistry::overdueAfter + 100ms, controller.now);
         controller.post(LoadReported { PeerId(7), { { { "llm", controller.busy } } } });
         controller.post(Tick {});
-        isOrdering = isOrdering || !controller.did<ReadEngine>().empty();
+        isOrdering = isOrdering || !controller.effectsOf<ReadEngine>().empty();
     }
     CHECK(!isOrdering);
 }
 
-TEST_CASE("an order ends with the run that it was planned for")
+TEST_CASE("an order is aborted if the engine's run that it was planned for has ended")
 {
-    // Symptom: an engine that has just started goes to another stage though nothing asks for it. Sequence: an engine has its orders
-    // counted, crashes, and starts again under its id, where it has accepted none, as its former run had before its first. Cause: an
-    // engine was known by its id and its count of orders.
-    Controller controller;
+    // Guards against an engine that changes its stage without need just after a restart: its count of orders is read, it crashes, and
+    // restarts under the same id. The id and the count, zero before and after, don't distinguish the two runs.
+    ControllerHarness controller;
     controller.startAll(firstStart);
     controller.post(LeadershipChanged { 1 });
-    auto read = std::get<ReadEngine>(*controller.pass(10s));
+    auto read = std::get<ReadEngine>(*controller.advance(10s));
     CHECK(read.engine.run.start == firstStart);
     SUBCASE("while its count is read")
     {
-        controller.startAgain(read.engine.run);
+        controller.restart(read.engine.run);
         controller.post(EngineRead { read.order, EngineState { 0, false, {} } });
-        CHECK(controller.did<AcquireToken>().empty());
-        CHECK(controller.did<LogEvent>().front().code == EventCode::StageOrderFailed);
+        CHECK(controller.effectsOf<AcquireToken>().empty());
+        CHECK(controller.effectsOf<LogEvent>().front().code == EventCode::StageOrderFailed);
     }
-    SUBCASE("when another run answers, which no announcement has told yet")
+    SUBCASE("when another run replies that was not announced yet")
     {
         controller.post(EngineRead { read.order, EngineState { 0, false, secondStart } });
-        CHECK(controller.did<AcquireToken>().empty());
-        CHECK(controller.did<LogEvent>().front().code == EventCode::StageOrderFailed);
+        CHECK(controller.effectsOf<AcquireToken>().empty());
+        CHECK(controller.effectsOf<LogEvent>().front().code == EventCode::StageOrderFailed);
     }
-    SUBCASE("while a token is taken")
+    SUBCASE("while a token is acquired")
     {
         controller.post(EngineRead { read.order, EngineState { 0, false, firstStart } });
-        REQUIRE(controller.did<AcquireToken>().size() == 1);
-        controller.startAgain(read.engine.run);
+        REQUIRE(controller.effectsOf<AcquireToken>().size() == 1);
+        controller.restart(read.engine.run);
         controller.post(TokenAcquired { read.order, FencingToken(9) });
-        CHECK(controller.did<SendOrder>().empty());
+        CHECK(controller.effectsOf<SendOrder>().empty());
     }
-    // Nothing else is held up. The known run is left alone if another one answers for it: no announcement may tell of that one for long.
+    // Other engines get their orders. The known run gets none if another run replied: the announcement of that one may be late.
     for (int i = 0; i < 2; ++i) {
-        auto next = controller.pass(1s);
+        auto next = controller.advance(1s);
         REQUIRE(next);
         auto again = std::get<ReadEngine>(*next);
         CHECK((again.engine.run != read.engine.run));
@@ -466,48 +465,48 @@
     }
 }
 
-TEST_CASE("an order that has left for a run that ended may be carried out by the newer one: none follows until it can't be")
+TEST_CASE("an order sent to a run that has ended counts as one without a reply, as the newer run may carry it out")
 {
-    Controller controller;
+    ControllerHarness controller;
     controller.startAll(firstStart);
-    auto give = controller.order();
-    controller.startAgain(give.engine.run);
-    controller.post(OrderAnswered { give.order, OrderAnswer::Accepted });
+    auto sent = controller.sendOrder();
+    controller.restart(sent.engine.run);
+    controller.post(OrderAnswered { sent.order, OrderAnswer::Accepted });
     // Gateways are not told that the newer run changes its stage.
-    CHECK(controller.did<StageChange>().empty());
-    CHECK(!controller.pass(StageCoordinator::lateOrders - 1s));
-    CHECK(controller.pass(2s));
+    CHECK(controller.effectsOf<StageChange>().empty());
+    CHECK(!controller.advance(StageCoordinator::unansweredOrderPause - 1s));
+    CHECK(controller.advance(2s));
 }
 
-TEST_CASE("an accepted order's news names the run that was ordered")
+TEST_CASE("the stage change sent to gateways contains the run that was ordered")
 {
-    Controller controller;
+    ControllerHarness controller;
     controller.startAll(firstStart);
-    auto give = controller.order();
-    controller.post(OrderAnswered { give.order, OrderAnswer::Accepted });
-    CHECK(controller.did<StageChange>().front().start == firstStart);
+    auto sent = controller.sendOrder();
+    controller.post(OrderAnswered { sent.order, OrderAnswer::Accepted });
+    CHECK(controller.effectsOf<StageChange>().front().start == firstStart);
 }
 
-TEST_CASE("an engine that refused and has started again is asked again")
+TEST_CASE("an engine that refused an order and has restarted is tried again")
 {
-    // Symptom: an engine is left out for 10 s though it has just started. Cause: the pause after a refusal went by its id.
-    Controller controller;
+    // Guards against a pause after a refusal that applies to an engine's id instead of its run, and so for 10 s to the new run as well.
+    ControllerHarness controller;
     controller.startAll(firstStart);
-    auto give = controller.order();
-    controller.post(OrderAnswered { give.order, OrderAnswer::Refused });
-    // The other prefill replicas leave, so that only this one could change.
+    auto sent = controller.sendOrder();
+    controller.post(OrderAnswered { sent.order, OrderAnswer::Refused });
+    // Announces the other prefill replicas again, with a higher sequence.
     for (const auto* id : { "p1", "p2", "p3" }) {
-        if (id != give.engine.run.id)
+        if (id != sent.engine.run.id)
             controller.registry().announce(engine(id, UpstreamKind::Prefill, 2, firstStart), {}, controller.now);
     }
-    controller.startAgain(give.engine.run);
+    controller.restart(sent.engine.run);
     std::set<std::string> asked;
     for (int i = 0; i < 3; ++i) {
-        auto next = controller.pass(2s);
+        auto next = controller.advance(2s);
         REQUIRE(next);
         auto read = std::get<ReadEngine>(*next);
         asked.insert(read.engine.run.id);
         controller.post(EngineRead { read.order, std::nullopt });
     }
-    CHECK(asked.contains(give.engine.run.id));
+    CHECK(asked.contains(sent.engine.run.id));
 }
