--- a/src/request/engine/EngineLoad.h
+++ b/src/request/engine/EngineLoad.h
@@ -33,7 +33,7 @@
     static constexpr double prefillTimeDrift = 0.002;
 
     /// A request was admitted. \param tokens the KV memory that it occupies at a decode replica.
-    void admit(const std::string& service, const EngineFacts&, std::uint32_t promptTokens, std::uint32_t tokens, Instant now);
+    void admit(const std::string& service, const EngineProperties&, std::uint32_t promptTokens, std::uint32_t tokens, Instant now);
     /// An admitted request has ended. \param isServed whether its answer was complete.
     void finish(const std::string& service, Instant admittedAt, bool isServed, Instant now);
     /// A prefill has ended. \param took its time, including queueing.
@@ -45,7 +45,7 @@
 
 private:
     struct Service {
-        EngineFacts facts;
+        EngineProperties facts;
         double secondsPerToken = 0; ///< Of the fastest prefill.
         double endedSeconds = 0; ///< Total time of ended requests, whatever their outcome.
         double answers = 0; ///< How many of these were served.
--- a/src/request/engine/StageCoordinator.cpp
+++ b/src/request/engine/StageCoordinator.cpp
@@ -98,7 +98,7 @@
         if (!isUsable)
             continue;
         bool isChanging = entry.isChanging(now);
-        auto kind = isChanging ? *entry.changesTo : a.kind;
+        auto kind = isChanging ? *entry.pendingStage : a.kind;
         if (!isChanging && !m_enginePausedUntil.contains(a.run()))
             pool.engines.push_back({ a.run(), a.address, a.zone, kind });
         else
--- a/src/request/forward/ForwardAnswers.cpp
+++ b/src/request/forward/ForwardAnswers.cpp
@@ -66,7 +66,7 @@
             continue;
         if (!flow.hasBegun) {
             flow.hasBegun = true;
-            flow.untilFirst = now - flow.arrivedAt;
+            flow.timeToFirstByte = now - flow.arrivedAt;
             m_effects.push_back(LogEvent {
                 EventCode::FirstByte, flow.id, toString(flow.replica) + " after " + std::to_string((now - flow.sentAt) / 1ms) + " ms" });
             m_effects.push_back(BeginStream { flow.id, flow.facts.status, flow.headers });
@@ -91,12 +91,12 @@
         endCall(*flow, CallOutcome::Abandoned, now);
         return refuse(*flow, ResultCode::MalformedRequest, "the replica refused the request as malformed", now);
     }
-    if (facts.wasNotRun || facts.isOtherReplica) {
-        if (facts.isOtherReplica)
+    if (facts.wasNotRun || facts.isMisdirected) {
+        if (facts.isMisdirected)
             takeSourceBack(*flow);
         else if (!flow->route->hasPrompt)
             m_shedder.noteFull(flow->service, now);
-        endCall(*flow, facts.isOtherReplica ? CallOutcome::Misdirected : CallOutcome::Refused, now);
+        endCall(*flow, facts.isMisdirected ? CallOutcome::Misdirected : CallOutcome::Refused, now);
         ++flow->refusals;
         return resendOrFail(*flow, false, "the replica did not run the request", now);
     }
@@ -120,15 +120,15 @@
     m_effects.push_back(LogEvent { EventCode::RequestFinished, flow->id,
         std::to_string(facts.status) + " after " + std::to_string((now - flow->arrivedAt) / 1ms) + " ms" });
     m_effects.push_back(Reply { flow->id, facts.status, std::move(flow->headers), std::move(flow->body) });
-    flow->untilFirst = now - flow->arrivedAt;
+    flow->timeToFirstByte = now - flow->arrivedAt;
     finish(*flow, isFailure ? ResultCode::UpstreamFailed : ResultCode::Ok, now);
 }
 
 void ForwardLogic::endStream(Flow& flow, Instant now)
 {
-    bool isWhole = flow.splitter.rest().empty() && flow.hasBegun;
-    endCall(flow, isWhole ? CallOutcome::Served : CallOutcome::Failed, now);
-    if (!isWhole) {
+    bool isComplete = flow.splitter.rest().empty() && flow.hasBegun;
+    endCall(flow, isComplete ? CallOutcome::Served : CallOutcome::Failed, now);
+    if (!isComplete) {
         noteCrash(flow, now);
         return resendOrFail(flow, true, "the stream ended inside an event", now);
     }
@@ -139,7 +139,7 @@
     m_effects.push_back(EndStream { flow.id });
     // The rest of a stream tells nothing of a whole one.
     if (!flow.ask.resumeAfter)
-        m_forecast.note(flow.service, expectedTokensOf(flow), *flow.untilFirst, now - flow.arrivedAt - *flow.untilFirst);
+        m_forecast.note(flow.service, expectedTokensOf(flow), *flow.timeToFirstByte, now - flow.arrivedAt - *flow.timeToFirstByte);
     finish(flow, ResultCode::Ok, now);
 }
 
@@ -163,12 +163,12 @@
     flow.isCalling = false;
     m_replicas.end(flow.replica, tokensOf(flow), outcome, now - flow.sentAt, now);
     if (auto sidecar = std::exchange(flow.readsBeside, std::nullopt))
-        m_effects.push_back(NotePrefill { *sidecar, flow.id, flow.ask.promptTokens, true });
+        m_effects.push_back(NotifyPrefill { *sidecar, flow.id, flow.ask.promptTokens, true });
     if (flow.stage != Flow::Stage::Running)
         return;
     endReservation(flow, outcome == CallOutcome::Served, outcome == CallOutcome::Failed && !flow.hasBegun);
     if (m_queue.size()) {
-        m_replicas.noteRoom(flow.replica);
+        m_replicas.clearFull(flow.replica);
         m_mayAdmit = true;
     }
 }
@@ -193,7 +193,7 @@
 bool ForwardLogic::resend(Flow& flow, Instant now)
 {
     bool isPossible
-        = mayRunAgain(flow) && !crashesReplicas(flow, now) && flow.sends < sendLimit && m_replicas.choose(needOf(flow), flow.tried, now);
+        = mayRunAgain(flow) && !crashesReplicas(flow, now) && flow.sends < maxSends && m_replicas.choose(needOf(flow), flow.tried, now);
     return isPossible && m_budget.take(flow.service, now) && (prefillAgain(flow, now) || send(flow, now));
 }
 
@@ -208,7 +208,7 @@
     }
     if (flow.hasBegun) {
         m_effects.push_back(LogEvent { EventCode::RequestFailed, flow.id, why + " at " + toString(flow.replica) });
-        m_effects.push_back(BreakStream { flow.id });
+        m_effects.push_back(AbortStream { flow.id });
         return finish(flow, ResultCode::UpstreamFailed, now);
     }
     if (crashesReplicas(flow, now))
@@ -250,7 +250,7 @@
     }
     if (flow.hasBegun) {
         m_effects.push_back(LogEvent { EventCode::RequestFailed, flow.id, "the stream did not end in time" });
-        m_effects.push_back(BreakStream { flow.id });
+        m_effects.push_back(AbortStream { flow.id });
         return finish(flow, ResultCode::TimedOut, now);
     }
     bool wasRunning = wasCalling && flow.stage == Flow::Stage::Running;
@@ -259,7 +259,7 @@
     refuse(flow, mayHaveRun ? ResultCode::TimedOut : ResultCode::DeadlineUnreachable, "no answer in time", now);
 }
 
-void ForwardLogic::on(const CallerGone& event, Instant now)
+void ForwardLogic::on(const CallerDisconnected& event, Instant now)
 {
     auto it = m_flows.find(event.id);
     if (it == m_flows.end())
@@ -275,7 +275,7 @@
 {
     if (flow.admittedAt)
         m_engineLoad.finish(flow.service, *flow.admittedAt, code == ResultCode::Ok, now);
-    m_effects.push_back(Finished { flow.route ? flow.route->name : "", code, flow.sends, flow.untilFirst, flow.waitedForPlace });
+    m_effects.push_back(Finished { flow.route ? flow.route->name : "", code, flow.sends, flow.timeToFirstByte, flow.reservationWait });
     giveBackCharge(flow, code, now);
     dropSource(flow);
     dropPlace(flow);
--- a/test/correctness/LedgerTest.cpp
+++ b/test/correctness/LedgerTest.cpp
@@ -56,12 +56,12 @@
 
 SidecarLogic plainSidecar(const Safeguards& safeguards = {})
 {
-    SidecarProfile profile;
-    profile.self = PeerId(7);
-    profile.service = "saatja";
-    profile.kind = UpstreamKind::Plain;
-    profile.safeguards = safeguards;
-    return SidecarLogic(profile);
+    SidecarOptions options;
+    options.self = PeerId(7);
+    options.service = "saatja";
+    options.kind = UpstreamKind::Plain;
+    options.safeguards = safeguards;
+    return SidecarLogic(options);
 }
 
 } // namespace
@@ -108,21 +108,21 @@
 {
     Ledger ledger;
     RequestId other { PeerId(8), 1 };
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(2), other }).state == LedgerState::Exists);
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
-    CHECK(ledger.intend({ "k", 6, Attempt(2), PeerId(1), other }).state == LedgerState::Mismatch);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(2), other }).state == LedgerState::Exists);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
+    CHECK(ledger.recordIntent({ "k", 6, Attempt(2), PeerId(1), other }).state == LedgerState::Mismatch);
 }
 
 TEST_CASE("an attempt can't be skipped, and nothing follows an outcome")
 {
     Ledger ledger;
-    ledger.intend({ "k", 5, Attempt(1), PeerId(1), request });
-    CHECK(ledger.intend({ "k", 5, Attempt(3), PeerId(1), request }).state == LedgerState::Exists);
-    ledger.conclude({ "k", Attempt(1), AttemptState::Finished, { 200, {}, "x", true } });
-    CHECK(ledger.intend({ "k", 5, Attempt(2), PeerId(1), request }).state == LedgerState::Exists);
-    ledger.conclude({ "k", Attempt(1), AttemptState::Interrupted, {} });
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).outcome == AttemptState::Finished);
+    ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(3), PeerId(1), request }).state == LedgerState::Exists);
+    ledger.recordOutcome({ "k", Attempt(1), AttemptState::Finished, { 200, {}, "x", true } });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(2), PeerId(1), request }).state == LedgerState::Exists);
+    ledger.recordOutcome({ "k", Attempt(1), AttemptState::Interrupted, {} });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).outcome == AttemptState::Finished);
 }
 
 TEST_CASE("a dispatch for another run of the sidecar is refused")
@@ -134,11 +134,11 @@
     CHECK(count<sidecar::StartCall>(effects) == 0);
     CHECK(countSent<Refused>(effects) == 1);
 
-    Safeguards without;
-    without.refusesOtherIncarnation = false;
-    auto careless = plainSidecar(without);
-    careless.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
-    CHECK(count<sidecar::StartCall>(careless.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(6), 1) }, start)) == 1);
+    Safeguards disabled;
+    disabled.refusesOtherIncarnation = false;
+    auto unguarded = plainSidecar(disabled);
+    unguarded.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
+    CHECK(count<sidecar::StartCall>(unguarded.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(6), 1) }, start)) == 1);
 }
 
 TEST_CASE("a message of a gateway that is not linked starts nothing")
