--- a/src/base/EventCode.h
+++ b/src/base/EventCode.h
@@ -92,7 +92,7 @@
 std::string_view nameOf(EventCode);
 
 /// Something worth a line in the log and on the time line; the state machines return it as an effect.
-struct Note {
+struct LogEvent {
     EventCode code;
     RequestId request; ///< Sequence zero: not about a request.
     std::string text;
--- a/src/base/SettingsNode.cpp
+++ b/src/base/SettingsNode.cpp
@@ -2,12 +2,12 @@
 
 namespace wrenhinge {
 
-void SettingsMistakes::add(const YAML::Mark& mark, const std::string& key, const std::string& mend)
+void SettingsErrors::add(const YAML::Mark& mark, const std::string& key, const std::string& mend)
 {
     lines.push_back(file + ":" + std::to_string(mark.line + 1) + ": " + key + ": " + mend);
 }
 
-SettingsNode::SettingsNode(const YAML::Node& node, std::string path, SettingsMistakes& mistakes)
+SettingsNode::SettingsNode(const YAML::Node& node, std::string path, SettingsErrors& mistakes)
     : m_node(node)
     , m_path(std::move(path))
     , m_mistakes(mistakes)
@@ -24,7 +24,7 @@
     if (!has(key))
         return std::nullopt;
     if (!m_node[key].IsScalar()) {
-        mistake(key, "write a single value");
+        addError(key, "write a single value");
         return std::nullopt;
     }
     return m_node[key].Scalar();
@@ -37,7 +37,7 @@
     if (!has(key))
         return list;
     if (!m_node[key].IsSequence()) {
-        mistake(key, "write a list: [a, b]");
+        addError(key, "write a list: [a, b]");
         return list;
     }
     for (const auto& node : m_node[key])
@@ -50,7 +50,7 @@
     m_known.insert(key);
     bool isMap = has(key) && m_node[key].IsMap();
     if (has(key) && !isMap)
-        mistake(key, "write a map of keys below it");
+        addError(key, "write a map of keys below it");
     return { isMap ? m_node[key] : YAML::Node(YAML::NodeType::Map), fullName(key), m_mistakes };
 }
 
@@ -63,15 +63,15 @@
         }
         SettingsNode one(node, fullName(key), m_mistakes);
         readOne(one);
-        one.refuseUnknown();
+        one.reportUnknownKeys();
     }
 }
 
-void SettingsNode::missing(const std::string& key) { mistake(key, "is missing; add it"); }
+void SettingsNode::addMissing(const std::string& key) { addError(key, "is missing; add it"); }
 
-void SettingsNode::mistake(const std::string& key, const std::string& mend) { m_mistakes.add(markOf(key), fullName(key), mend); }
+void SettingsNode::addError(const std::string& key, const std::string& mend) { m_mistakes.add(markOf(key), fullName(key), mend); }
 
-void SettingsNode::refuseUnknown() const
+void SettingsNode::reportUnknownKeys() const
 {
     if (!m_node.IsMap())
         return;
--- a/src/base/SettingsNode.h
+++ b/src/base/SettingsNode.h
@@ -14,7 +14,7 @@
 namespace wrenhinge {
 
 /// Collects the mistakes of one file.
-struct SettingsMistakes {
+struct SettingsErrors {
     std::string file;
     std::vector<std::string> lines;
     void add(const YAML::Mark&, const std::string& key, const std::string& mend);
@@ -22,7 +22,7 @@
 
 class SettingsNode {
 public:
-    SettingsNode(const YAML::Node&, std::string path, SettingsMistakes&);
+    SettingsNode(const YAML::Node&, std::string path, SettingsErrors&);
 
     /// Reads a value that may be absent by a parser of Units.h or a like one.
     template <typename T, typename Parser> void optional(const std::string& key, T& field, Parser parse)
@@ -35,7 +35,7 @@
         if (has(key))
             optional(key, field, parse);
         else
-            missing(key);
+            addMissing(key);
     }
     /// Reads a nested map; absent counts as empty.
     SettingsNode child(const std::string& key);
@@ -55,10 +55,10 @@
     void maps(const std::string& key, const std::function<void(SettingsNode&)>& readOne);
 
     [[nodiscard]] bool has(const std::string& key) const;
-    void missing(const std::string& key);
+    void addMissing(const std::string& key);
     /// Reports every key that was never asked for.
-    void refuseUnknown() const;
-    void mistake(const std::string& key, const std::string& mend);
+    void reportUnknownKeys() const;
+    void addError(const std::string& key, const std::string& mend);
 
 private:
     std::optional<std::string> scalar(const std::string& key);
@@ -81,7 +81,7 @@
 
     YAML::Node m_node;
     std::string m_path;
-    SettingsMistakes& m_mistakes;
+    SettingsErrors& m_mistakes;
     std::set<std::string> m_known;
 };
 
--- a/src/connection/AccountBook.cpp
+++ b/src/connection/AccountBook.cpp
@@ -38,7 +38,7 @@
 {
     AccountBook book;
     book.m_isOpen = false;
-    SettingsMistakes mistakes { file, {} };
+    SettingsErrors mistakes { file, {} };
     try {
         SettingsNode root(YAML::Load(text), "", mistakes);
         root.maps("accounts", [&book](SettingsNode& one) {
@@ -49,7 +49,7 @@
             one.required("sha256", account.hash, anyText);
             book.m_accounts[name] = account;
         });
-        root.refuseUnknown();
+        root.reportUnknownKeys();
     } catch (const YAML::Exception& e) {
         return Error { ResultCode::BadSettings, file + ":" + std::to_string(e.mark.line + 1) + ": not YAML: " + e.msg };
     }
--- a/src/connection/MessageCheck.cpp
+++ b/src/connection/MessageCheck.cpp
@@ -49,14 +49,14 @@
         return wrong("age", "a span of time from zero", std::to_string(age.count()) + " us");
     }
 
-    Fault check(const Announced& announced)
+    Fault check(const RelayedAnnouncement& announced)
     {
         if (auto fault = faultOf(announced.announcement))
             return fault;
         return faultOfAge(announced.age);
     }
 
-    Fault check(const Withdrawn& withdrawn) { return faultOfId(withdrawn.id); }
+    Fault check(const ReplicaWithdrawn& withdrawn) { return faultOfId(withdrawn.id); }
 
     Fault check(const StageChange& change)
     {
@@ -78,7 +78,7 @@
 
     Fault check(const ServedAfterCrash& served) { return faultOfAge(served.age); }
 
-    Fault check(const AccountUse& use)
+    Fault check(const AccountUsage& use)
     {
         bool isFinite = std::isfinite(use.amount) && std::isfinite(use.perSecond) && std::isfinite(use.reservedPerSecond);
         if (!isFinite || use.perSecond < 0 || use.reservedPerSecond < 0)
@@ -88,7 +88,7 @@
 
     Fault check(const AccountTotal& total)
     {
-        bool isFinite = std::isfinite(total.othersUse) && std::isfinite(total.othersPerSecond) && std::isfinite(total.reservedPerSecond);
+        bool isFinite = std::isfinite(total.othersUsage) && std::isfinite(total.othersPerSecond) && std::isfinite(total.reservedPerSecond);
         if (!isFinite || total.othersPerSecond < 0 || total.reservedPerSecond < 0)
             return wrong("totals", "finite amounts", toString(total.account));
         return std::nullopt;
@@ -164,10 +164,10 @@
         return std::nullopt;
     }
 
-    Fault check(const EngineRoom& room)
+    Fault check(const EngineHeadroom& headroom)
     {
-        if (!isAddress(room.address))
-            return wrong("address", "IP:PORT", room.address);
+        if (!isAddress(headroom.address))
+            return wrong("address", "IP:PORT", headroom.address);
         return std::nullopt;
     }
 
--- a/src/message/Codec.cpp
+++ b/src/message/Codec.cpp
@@ -9,7 +9,7 @@
 std::optional<std::uint32_t> typeIndex(std::string_view bytes)
 {
     try {
-        return unpackWithin(bytes).get().as<std::vector<msgpack::object>>().at(0).as<std::uint32_t>();
+        return unpackBounded(bytes).get().as<std::vector<msgpack::object>>().at(0).as<std::uint32_t>();
     } catch (const std::exception&) {
         return std::nullopt;
     }
--- a/src/message/Codec.h
+++ b/src/message/Codec.h
@@ -32,15 +32,15 @@
 }
 
 /// Messages nest a handful of times; what nests deeper is none.
-inline constexpr std::size_t deepestNesting = 32;
+inline constexpr std::size_t maxNestingDepth = 32;
 
 /// The parts of the value in these bytes; throws if they are none.
-inline msgpack::object_handle unpackWithin(std::string_view bytes)
+inline msgpack::object_handle unpackBounded(std::string_view bytes)
 {
     // A few bytes may claim an array of four thousand million elements, for which msgpack would reserve memory before it
     // looks for them: a damaged or hostile message then ended the process. No value has more parts than bytes.
     auto most = bytes.size();
-    msgpack::unpack_limit limit(most, most, most, most, most, deepestNesting);
+    msgpack::unpack_limit limit(most, most, most, most, most, maxNestingDepth);
     return msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
 }
 
@@ -48,7 +48,7 @@
 template <typename T> std::optional<T> decodeValue(std::string_view bytes)
 {
     try {
-        return unpackWithin(bytes).get().as<T>();
+        return unpackBounded(bytes).get().as<T>();
     } catch (const std::exception&) {
         return std::nullopt;
     }
@@ -58,7 +58,7 @@
 template <typename T> std::optional<std::vector<std::optional<T>>> decodeEach(std::string_view bytes)
 {
     try {
-        auto handle = unpackWithin(bytes);
+        auto handle = unpackBounded(bytes);
         std::vector<std::optional<T>> list;
         for (const auto& element : handle.get().as<std::vector<msgpack::object>>()) {
             try {
--- a/src/message/Messages.h
+++ b/src/message/Messages.h
@@ -74,7 +74,7 @@
 };
 
 /// Introduces the upstream and renews its lease. Without renewal within `lease` the gateway stops using it.
-struct Announce {
+struct UpstreamAnnouncement {
     std::string service;
     UpstreamKind kind = UpstreamKind::Plain;
     std::string model;
@@ -144,16 +144,16 @@
     ResultCode code = ResultCode::UpstreamFailed;
     bool mayHaveRun = true;
     LoadReport load;
-    bool hasBrokenOff = false; ///< The upstream closed its connection before the answer was whole: it may have ended.
-    MSGPACK_DEFINE(request, attempt, code, mayHaveRun, load, hasBrokenOff)
+    bool isDisconnected = false; ///< The upstream closed its connection before the answer was whole: it may have ended.
+    MSGPACK_DEFINE(request, attempt, code, mayHaveRun, load, isDisconnected)
 };
 
-enum class AdmissionState : std::uint8_t { NeverAdmitted, Running, Finished, Broken };
-template <> struct WireEnum<AdmissionState> : WireEnumUpTo<AdmissionState::Broken> {
+enum class AttemptState : std::uint8_t { NeverAdmitted, Running, Finished, Interrupted };
+template <> struct WireEnum<AttemptState> : WireEnumUpTo<AttemptState::Interrupted> {
 };
 
 /// The recorded answer of a keyed request, kept while small.
-struct KeptAnswer {
+struct StoredResponse {
     int status = 0;
     HeaderList headers;
     std::string body;
@@ -166,8 +166,8 @@
     RequestId request; ///< The asking request.
     std::string key;
     Attempt attempt;
-    AdmissionState state = AdmissionState::NeverAdmitted;
-    KeptAnswer answer;
+    AttemptState state = AttemptState::NeverAdmitted;
+    StoredResponse answer;
     MSGPACK_DEFINE(request, key, attempt, state, answer)
 };
 
@@ -206,13 +206,13 @@
     std::uint64_t sequence = 0;
     Priority priority = Priority::Normal;
     Duration budget {}; ///< The longest wait for the slot; the prefill's result lives no longer.
-    Duration timeliness {}; ///< The longest wait that still meets the target; later, others go first.
+    Duration targetWait {}; ///< The longest wait that still meets the target; later, others go first.
     std::uint32_t promptTokens = 0;
     std::uint32_t maxTokens = 0;
     std::string path;
     std::string body;
     std::string kvParams;
-    MSGPACK_DEFINE(request, attempt, sequence, priority, budget, timeliness, promptTokens, maxTokens, path, body, kvParams)
+    MSGPACK_DEFINE(request, attempt, sequence, priority, budget, targetWait, promptTokens, maxTokens, path, body, kvParams)
 };
 
 /// A call to a plain service.
@@ -263,8 +263,8 @@
 struct OutcomeCommand {
     std::string key;
     Attempt attempt;
-    AdmissionState state = AdmissionState::Finished;
-    KeptAnswer answer;
+    AttemptState state = AttemptState::Finished;
+    StoredResponse answer;
     MSGPACK_DEFINE(key, attempt, state, answer)
 };
 
@@ -338,8 +338,8 @@
     Attempt attempt;
     PeerId sidecar;
     bool finished = false;
-    AdmissionState outcome = AdmissionState::Running;
-    KeptAnswer answer;
+    AttemptState outcome = AttemptState::Running;
+    StoredResponse answer;
     MSGPACK_DEFINE(state, attempt, sidecar, finished, outcome, answer)
 };
 
@@ -355,8 +355,8 @@
 
 /// Asks to follow the configuration from `have` on.
 struct Watch {
-    ConfigVersion have;
-    MSGPACK_DEFINE(have)
+    ConfigVersion version;
+    MSGPACK_DEFINE(version)
 };
 
 /// The step from version `from` to `to`; `from` zero means a whole snapshot.
@@ -371,7 +371,7 @@
 };
 
 /// A watcher's report of what is in force at it.
-struct InForce {
+struct ConfigApplied {
     ConfigVersion version;
     MSGPACK_DEFINE(version)
 };
@@ -467,14 +467,14 @@
 };
 
 /// A replica's announcement, passed on by the controller that received it or heard of it.
-struct Announced {
+struct RelayedAnnouncement {
     Announcement announcement;
     Duration age {}; ///< Since it was received.
     MSGPACK_DEFINE(announcement, age)
 };
 
 /// This run of the replica has ended and never comes back, nor do those before it.
-struct Withdrawn {
+struct ReplicaWithdrawn {
     std::string id;
     ReplicaStart start {};
     [[nodiscard]] ReplicaRun run() const { return { id, start }; }
@@ -487,15 +487,15 @@
 struct RegistryHeartbeat {
     std::map<std::string, Duration> ages; ///< Since each run was heard of, by id.
     std::uint32_t gateways = 0;
-    ReplicaStart earliest {};
-    std::vector<std::uint64_t> startedAfter {}; ///< In the order of `ages`: milliseconds from `earliest` to the run's start.
+    ReplicaStart earliestStart {};
+    std::vector<std::uint64_t> startOffsets {}; ///< In the order of `ages`: milliseconds from `earliest` to the run's start.
     std::uint64_t digest = 0; ///< Of what the sender knows of all replicas; zero from a release that does not say.
     std::uint32_t known = 0; ///< How many replicas these are.
-    MSGPACK_DEFINE(ages, gateways, earliest, startedAfter, digest, known)
+    MSGPACK_DEFINE(ages, gateways, earliestStart, startOffsets, digest, known)
 };
 
 /// How many replicas' worth of work one gateway has kept a service's engines busy with, on average since its last report.
-struct EngineBusy {
+struct StageLoad {
     double prefill = 0;
     double decode = 0;
     Duration stageChange {}; ///< A replica that changes its stage is away for this long.
@@ -504,7 +504,7 @@
 
 /// From a gateway to controllers, once a second while there is such work; by service.
 struct EngineLoadReport {
-    std::map<std::string, EngineBusy> services;
+    std::map<std::string, StageLoad> services;
     MSGPACK_DEFINE(services)
 };
 
@@ -525,9 +525,9 @@
 
 /// All that a controller knows of replicas.
 struct RegistryList {
-    std::vector<Announced> known;
+    std::vector<RelayedAnnouncement> known;
     std::vector<StageChange> changing;
-    std::vector<Withdrawn> ended;
+    std::vector<ReplicaWithdrawn> ended;
     MSGPACK_DEFINE(known, changing, ended)
 };
 
@@ -584,25 +584,25 @@
     std::string run; ///< What the engine will call the request.
     std::uint32_t promptTokens = 0;
     std::uint32_t expectedTokens = 0; ///< Of the answer, as its caller expects.
-    std::uint32_t mostTokens = 0; ///< Of the answer, at most.
+    std::uint32_t maxTokens = 0; ///< Of the answer, at most.
     std::uint32_t slots = 0; ///< Requests that the engine runs at once.
-    MSGPACK_DEFINE(request, attempt, run, promptTokens, expectedTokens, mostTokens, slots)
+    MSGPACK_DEFINE(request, attempt, run, promptTokens, expectedTokens, maxTokens, slots)
 };
 
 struct ReservationReply {
     RequestId request;
     Attempt attempt;
     bool isGranted = false;
-    std::uint64_t room = 0; ///< As in EngineRoom, with this reservation counted.
-    MSGPACK_DEFINE(request, attempt, isGranted, room)
+    std::uint64_t headroom = 0; ///< As in EngineHeadroom, with this reservation counted.
+    MSGPACK_DEFINE(request, attempt, isGranted, headroom)
 };
 
 /// From a gateway: the request has ended at the engine, or will not go there.
 struct ReservationEnd {
     RequestId request;
-    bool isWhole = false; ///< Its answer came to its end.
-    bool isBroken = false; ///< It was sent there and nothing came of it.
-    MSGPACK_DEFINE(request, isWhole, isBroken)
+    bool isComplete = false; ///< Its answer came to its end.
+    bool hasFailed = false; ///< It was sent there and nothing came of it.
+    MSGPACK_DEFINE(request, isComplete, hasFailed)
 };
 
 /// From a gateway to a sidecar: a prefill was sent to its engine, or has ended there.
@@ -614,7 +614,7 @@
 };
 
 /// From a sidecar to all gateways.
-struct EngineRoom {
+struct EngineHeadroom {
     std::string address; ///< The engine's.
     std::uint64_t tokens = 0; ///< That its KV memory can take beyond what its answers are expected to need; zero: it takes no request.
     std::uint64_t prefillBacklog = 0; ///< Tokens of the prompts that were sent there and are not read yet.
@@ -652,7 +652,7 @@
 // --- What client accounts use of their limits -------------------------------------------------------------------------
 
 /// What one gateway has admitted for an account since it reported last; negative where more was given back.
-struct AccountUse {
+struct AccountUsage {
     AccountId account;
     double amount = 0;
     double perSecond = 0; ///< The account's limit.
@@ -662,43 +662,44 @@
 };
 
 /// Gateways that share the limits, as one controller sees them.
-struct GatewaysSeen {
+struct GatewayCounts {
     std::uint32_t all = 0;
-    std::uint32_t unheard = 0; ///< Of these; a part of each limit is set aside for them.
-    MSGPACK_DEFINE(all, unheard)
+    std::uint32_t notReporting = 0; ///< Of these; a part of each limit is set aside for them.
+    MSGPACK_DEFINE(all, notReporting)
 };
 
 /// From a gateway to all controllers: soon after it has used much, and twice a second.
 struct QuotaReport {
-    std::vector<AccountUse> uses;
+    std::vector<AccountUsage> uses;
     bool wantsTotals = false; ///< The gateway goes by this controller's totals.
     bool asksForAll = false; ///< It does not know which accounts are busy.
-    GatewaysSeen told; ///< By the controller whose totals it went by last, for one that has just started.
-    MSGPACK_DEFINE(uses, wantsTotals, asksForAll, told)
+    GatewayCounts knownGateways; ///< By the controller whose totals it went by last, for one that has just started.
+    MSGPACK_DEFINE(uses, wantsTotals, asksForAll, knownGateways)
 };
 
 /// What all other gateways have used.
 struct AccountTotal {
     AccountId account;
-    double othersUse = 0; ///< Since the last time that this gateway was told, or of the last moments if that is longer ago.
+    double othersUsage = 0; ///< Since the last time that this gateway was told, or of the last moments if that is longer ago.
     double othersPerSecond = 0;
     double reservedPerSecond = 0; ///< Of the limit, for gateways that the sender does not hear.
     bool isBusy = false; ///< More will be told soon.
-    MSGPACK_DEFINE(account, othersUse, othersPerSecond, reservedPerSecond, isBusy)
+    MSGPACK_DEFINE(account, othersUsage, othersPerSecond, reservedPerSecond, isBusy)
 };
 
 /// From a controller to the gateways that go by its totals, while accounts are near their limits.
 struct QuotaTotals {
     std::vector<AccountTotal> totals;
-    bool isAll = false; ///< No other account is busy.
-    GatewaysSeen gateways;
-    MSGPACK_DEFINE(totals, isAll, gateways)
+    bool isComplete = false; ///< No other account is busy.
+    GatewayCounts gateways;
+    MSGPACK_DEFINE(totals, isComplete, gateways)
 };
 
-using Message = std::variant<Hello, Announce, SlotGrant, Refused, PrefillDone, ResponseHead, ResponseData, ResponseEnd, Failed, SealReply,
-    SlotRequest, PrefillRequest, DecodeRequest, Dispatch, Cancel, Seal, Propose, ProposeReply, Watch, ConfigDelta, InForce, VoteRequest,
-    VoteReply, AppendRequest, AppendReply, SnapshotChunk, SnapshotReply, Announced, Withdrawn, RegistryHeartbeat, DocumentOffer,
-    ControllerRoster, ReadIndex, ReadIndexReply, EngineLoadReport, StageChange, DocumentRequest, DocumentPart, ReservationRequest,
-    ReservationReply, ReservationEnd, EngineRoom, PrefillNotice, RegistryRequest, RegistryList, CrashReport, QuotaReport, QuotaTotals>;
+using Message = std::variant<Hello, UpstreamAnnouncement, SlotGrant, Refused, PrefillDone, ResponseHead, ResponseData, ResponseEnd, Failed,
+    SealReply, SlotRequest, PrefillRequest, DecodeRequest, Dispatch, Cancel, Seal, Propose, ProposeReply, Watch, ConfigDelta, ConfigApplied,
+    VoteRequest, VoteReply, AppendRequest, AppendReply, SnapshotChunk, SnapshotReply, RelayedAnnouncement, ReplicaWithdrawn,
+    RegistryHeartbeat, DocumentOffer, ControllerRoster, ReadIndex, ReadIndexReply, EngineLoadReport, StageChange, DocumentRequest,
+    DocumentPart, ReservationRequest, ReservationReply, ReservationEnd, EngineHeadroom, PrefillNotice, RegistryRequest, RegistryList,
+    CrashReport, QuotaReport, QuotaTotals>;
 
 } // namespace wrenhinge
--- a/src/message/MsgpackAdaptors.h
+++ b/src/message/MsgpackAdaptors.h
@@ -24,7 +24,7 @@
 };
 
 /// Longer ones are no measurement of anything; instants reach some hundred times as far, so that sums of several still fit.
-inline constexpr Duration longestWireSpan = std::chrono::hours(24 * 365 * 100);
+inline constexpr Duration maxWireDuration = std::chrono::hours(24 * 365 * 100);
 
 } // namespace wrenhinge
 
@@ -36,7 +36,7 @@
             const msgpack::object& operator()(const msgpack::object& o, wrenhinge::Duration& d) const
             {
                 d = wrenhinge::Duration(o.as<std::int64_t>());
-                if (d > wrenhinge::longestWireSpan || d < -wrenhinge::longestWireSpan)
+                if (d > wrenhinge::maxWireDuration || d < -wrenhinge::maxWireDuration)
                     throw type_error();
                 return o;
             }
--- a/src/message/PeerEvents.h
+++ b/src/message/PeerEvents.h
@@ -16,7 +16,7 @@
     PeerId peer;
 };
 /// A message of a peer, in the order in which it sent them.
-struct FromPeer {
+struct PeerMessage {
     PeerId peer;
     Message message;
 };
--- a/src/process/AccountPages.cpp
+++ b/src/process/AccountPages.cpp
@@ -10,10 +10,10 @@
 {
     auto list = nlohmann::json::array();
     for (auto& [name, quota] : quotas.accounts()) {
-        auto use = quota.use(now);
+        auto usage = quota.usage(now);
         list.push_back({ { "name", name }, { "unit", nameOf(quota.rule().unit) }, { "limit_per_second", quota.rule().perSecond },
-            { "burst", quota.rule().burst }, { "used_here_per_second", use.ownPerSecond },
-            { "used_elsewhere_per_second", use.othersPerSecond }, { "left", use.left }, { "hears_others", !use.isAlone },
+            { "burst", quota.rule().burst }, { "used_here_per_second", usage.ownPerSecond },
+            { "used_elsewhere_per_second", usage.othersPerSecond }, { "left", usage.remaining }, { "hears_others", !usage.isIsolated },
             { "admitted", quota.admitted() }, { "refused", quota.refused() } });
     }
     return list;
--- a/src/process/ControllerRole.cpp
+++ b/src/process/ControllerRole.cpp
@@ -22,7 +22,7 @@
         const auto& controller = settings.controller;
         raft.isDynamic = !controller.seeds.empty();
         raft.zone = settings.zone;
-        raft.lossesToBear = controller.lossesToBear;
+        raft.toleratedFailures = controller.toleratedFailures;
         raft.self = raft.isDynamic ? settings.listen : settings.name;
         raft.isNewCluster = controller.isNewCluster;
         for (const auto& member : controller.members)
@@ -92,7 +92,7 @@
     , m_pages(settings, runtime,
           { [this] {
                std::lock_guard lock(m_logicMutex);
-               return m_logic && m_logic->raft().hasContact(currentInstant());
+               return m_logic && m_logic->raft().hasLeaderContact(currentInstant());
            },
               [this] { return m_hub.peers(); } })
 {
@@ -109,8 +109,8 @@
     auto recovered = recoverLog();
     if (!recovered)
         return recovered.error();
-    if (m_storage.cutBytes())
-        m_runtime.log().write({ EventCode::LogTailCut, {}, std::to_string(m_storage.cutBytes()) + " bytes of an unfinished write" });
+    if (m_storage.truncatedBytes())
+        m_runtime.log().write({ EventCode::LogTailCut, {}, std::to_string(m_storage.truncatedBytes()) + " bytes of an unfinished write" });
     m_logic = std::make_unique<ControllerLogic>(raftSettings(m_settings, m_storage.disk()), std::move(recovered.value()), currentInstant());
     startRegistrar();
     startCrashRelay();
@@ -222,7 +222,7 @@
             m_hub.dial(address);
         return;
     }
-    post(controller::FromPeer { peer, std::move(message) });
+    post(controller::PeerMessage { peer, std::move(message) });
 }
 
 // --- The loop ---------------------------------------------------------------------------------------------------
@@ -332,7 +332,7 @@
     for (auto& effect : effects) {
         if (auto* send = std::get_if<controller::Send>(&effect)) {
             m_hub.send(send->to, send->message);
-        } else if (auto* note = std::get_if<Note>(&effect)) {
+        } else if (auto* note = std::get_if<LogEvent>(&effect)) {
             m_runtime.log().write(*note);
         } else if (auto* local = std::get_if<controller::LocalReply>(&effect)) {
             answer(local->ticket, std::move(local->reply));
--- a/src/process/CrashRelay.cpp
+++ b/src/process/CrashRelay.cpp
@@ -34,7 +34,7 @@
 void CrashRelay::peerUp(const Hello& peer)
 {
     if (peer.role != Role::Sidecar)
-        boost::asio::post(m_strand, [this, id = peer.id, role = peer.role] { tell(id, m_exchange.forPeer(role, currentInstant())); });
+        boost::asio::post(m_strand, [this, id = peer.id, role = peer.role] { tell(id, m_exchange.snapshotFor(role, currentInstant())); });
 }
 
 void CrashRelay::receive(PeerId peer, const CrashReport& report)
@@ -47,7 +47,7 @@
     auto now = currentInstant();
     auto told = m_exchange.take(report, now);
     if (onChange && !told.gateways.isEmpty())
-        onChange(m_exchange.forPeer(Role::Gateway, now).crashes);
+        onChange(m_exchange.snapshotFor(Role::Gateway, now).crashes);
     for (const auto& request : told.refused)
         m_log.write({ EventCode::RequestCrashesReplicas, {}, m_exchange.tracker().text(request) });
     for (const auto& peer : m_hub.peers()) {
--- a/src/process/DiskMemory.cpp
+++ b/src/process/DiskMemory.cpp
@@ -97,7 +97,7 @@
 
 template <typename Entry> void DiskMemory<Entry>::write(const std::vector<Entry>& list)
 {
-    auto written = disk::replaceFile(m_folder, fileName<Entry>, disk::sealRecord(encodeValue(list)));
+    auto written = disk::replaceFile(m_folder, fileName<Entry>, disk::encodeRecord(encodeValue(list)));
     if (!written)
         m_log.write({ EventCode::ReplicasForgotten, {}, written.error().message });
 }
--- a/src/process/EngineSidecarRole.h
+++ b/src/process/EngineSidecarRole.h
@@ -77,14 +77,14 @@
     void onMessage(PeerId peer, const Message& message)
     {
         if (const auto* request = std::get_if<ReservationRequest>(&message))
-            m_driver.post(admission::Ask { peer, *request });
+            m_driver.post(admission::ReservationRequested { peer, *request });
         else if (const auto* end = std::get_if<ReservationEnd>(&message))
-            m_driver.post(admission::Ended { peer, *end });
+            m_driver.post(admission::ReservationEnded { peer, *end });
         else if (const auto* notice = std::get_if<PrefillNotice>(&message))
-            m_driver.post(admission::Prefilling { peer, *notice });
+            m_driver.post(admission::PrefillReported { peer, *notice });
     }
 
-    void carry(admission::Tell& tell) { m_hub.send(tell.to, tell.message); }
+    void carry(admission::Send& tell) { m_hub.send(tell.to, tell.message); }
 
     void carry(admission::ReadEngine& read)
     {
@@ -103,24 +103,25 @@
         });
     }
 
-    void carry(Note& note) { m_runtime.log().write(note); }
+    void carry(LogEvent& note) { m_runtime.log().write(note); }
 
     AdminReply answerAdmin(const AdminRequest& request)
     {
         if (auto common = m_pages.answer(request))
             return *common;
-        auto [room, runs] = m_driver.inspect([](const EngineAdmission& logic) { return std::pair(logic.room(), logic.runs()); });
+        auto [headroom, running]
+            = m_driver.inspect([](const EngineAdmission& logic) { return std::pair(logic.headroom(), logic.running()); });
         if (request.path == "/status") {
             auto json = m_pages.identity();
             json["engine"] = m_settings.engine.address;
-            json["room_tokens"] = room;
-            json["runs"] = runs;
+            json["room_tokens"] = headroom;
+            json["runs"] = running;
             return AdminPages::json(json);
         }
         if (request.path != "/metrics")
             return AdminPages::notFound(request.path);
-        auto text = "# TYPE wrenhinge_engine_room_tokens gauge\nwrenhinge_engine_room_tokens " + std::to_string(room)
-            + "\n# TYPE wrenhinge_engine_runs gauge\nwrenhinge_engine_runs " + std::to_string(runs) + "\n";
+        auto text = "# TYPE wrenhinge_engine_room_tokens gauge\nwrenhinge_engine_room_tokens " + std::to_string(headroom)
+            + "\n# TYPE wrenhinge_engine_runs gauge\nwrenhinge_engine_runs " + std::to_string(running) + "\n";
         return { 200, "text/plain; version=0.0.4", text + m_runtime.refusals().metrics() };
     }
 
--- a/src/process/EventLog.cpp
+++ b/src/process/EventLog.cpp
@@ -122,7 +122,7 @@
     logger().setLogLevel(log4cplus::getLogLevelManager().fromString(upper));
 }
 
-void EventLog::write(const Note& note)
+void EventLog::write(const LogEvent& note)
 {
     auto request = note.request.sequence ? toString(note.request) : std::string();
     {
@@ -142,7 +142,7 @@
     writeLine(level, note);
 }
 
-void EventLog::writeLine(int level, const Note& note)
+void EventLog::writeLine(int level, const LogEvent& note)
 {
     auto line
         = "event=" + std::to_string(static_cast<int>(note.code)) + " name=" + std::string(nameOf(note.code)) + " process=" + m_process;
--- a/src/process/EventLog.h
+++ b/src/process/EventLog.h
@@ -44,7 +44,7 @@
     EventLog(const EventLog&) = delete;
     EventLog& operator=(const EventLog&) = delete;
 
-    void write(const Note&);
+    void write(const LogEvent&);
     void setLevel(const std::string& level);
     /// Lines that were left out since the start, for want of room or beyond the rate of their event.
     [[nodiscard]] std::uint64_t linesLeftOut() const { return m_leftOut; }
@@ -62,7 +62,7 @@
 
     bool isWithinRate(EventCode);
     void tellLeftOut();
-    void writeLine(int level, const Note&);
+    void writeLine(int level, const LogEvent&);
 
     std::string m_process;
     int m_file = -1; ///< Open while the log goes to a file.
--- a/src/process/ForwardMetrics.cpp
+++ b/src/process/ForwardMetrics.cpp
@@ -7,10 +7,10 @@
     std::lock_guard lock(m_mutex);
     ++m_requests[{ finished.route, finished.code }];
     m_resends += finished.sends > 1 ? finished.sends - 1 : 0;
-    if (finished.untilFirst)
-        m_untilFirst.add(*finished.untilFirst);
-    if (finished.waitedForPlace > Duration::zero())
-        m_waitedForPlace.add(finished.waitedForPlace);
+    if (finished.timeToFirstByte)
+        m_untilFirst.add(*finished.timeToFirstByte);
+    if (finished.reservationWait > Duration::zero())
+        m_waitedForPlace.add(finished.reservationWait);
 }
 
 void ForwardMetrics::setGauge(const std::string& name, double value)
--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -49,7 +49,7 @@
         } -> std::same_as<UpstreamRequest>;
     {
         D::readAnswer(head, text)
-        } -> std::same_as<forward::AnswerFacts>;
+        } -> std::same_as<forward::AnswerMetadata>;
     {
         D::whose(head, text)
         } -> std::same_as<AnswerOwner>;
@@ -60,10 +60,10 @@
         D::readPlace(text)
         } -> std::same_as<std::optional<std::string>>;
     {
-        D::takePlace(forward::TakePlace {})
+        D::takePlace(forward::ReserveAtReplica {})
         } -> std::same_as<UpstreamRequest>;
     {
-        D::dropPlace(forward::Place {})
+        D::dropPlace(forward::Reservation {})
         } -> std::same_as<UpstreamRequest>;
     {
         D::freePrompt(*send.source)
@@ -92,11 +92,11 @@
               { [this](const Hello& peer) {
                    m_runtime.log().write({ EventCode::PeerUp, {}, peer.name });
                    if (peer.role == Role::Controller)
-                       post(forward::ControllerUp { peer.id });
+                       post(forward::ControllerConnected { peer.id });
                },
                   [this](PeerId peer) {
                       m_runtime.log().write({ EventCode::PeerDown, {}, toString(peer) });
-                      post(forward::PeerGone { peer });
+                      post(forward::PeerDisconnected { peer });
                       m_documents.post(document::PeerDown { peer });
                   },
                   [this](PeerId peer, Message&& message) { onMessage(peer, std::move(message)); },
@@ -178,7 +178,7 @@
     {
         auto words = Dialect::readCaller(request);
         RequestId id { m_runtime.self(), ++m_lastSequence };
-        answer->onGone = [this, id] { post(forward::CallerGone { id }); };
+        answer->onGone = [this, id] { post(forward::CallerDisconnected { id }); };
         words.ask.readFor = request.readFor;
         words.ask.fingerprint = fingerprintOf({ request.method, request.host, request.target, request.body });
         m_exchanges[id] = { std::move(request), std::move(words.id), std::move(answer), {} };
@@ -197,26 +197,26 @@
         if (const auto* roster = std::get_if<ControllerRoster>(&message)) {
             for (const auto& address : roster->addresses)
                 m_hub.dial(address);
-        } else if (const auto* announced = std::get_if<Announced>(&message)) {
+        } else if (const auto* announced = std::get_if<RelayedAnnouncement>(&message)) {
             post(*announced);
-        } else if (const auto* withdrawn = std::get_if<Withdrawn>(&message)) {
+        } else if (const auto* withdrawn = std::get_if<ReplicaWithdrawn>(&message)) {
             post(*withdrawn);
-        } else if (const auto* room = std::get_if<EngineRoom>(&message)) {
-            post(forward::RoomTold { room->address, { peer, room->tokens, room->prefillBacklog } });
+        } else if (const auto* headroom = std::get_if<EngineHeadroom>(&message)) {
+            post(forward::EngineCapacityReported { headroom->address, { peer, headroom->tokens, headroom->prefillBacklog } });
         } else if (const auto* reply = std::get_if<ReservationReply>(&message)) {
-            post(forward::ReservationAnswered { reply->request, reply->attempt, reply->isGranted, reply->room });
+            post(forward::SidecarReservationReply { reply->request, reply->attempt, reply->isGranted, reply->headroom });
         } else if (auto* heartbeat = std::get_if<RegistryHeartbeat>(&message)) {
-            post(forward::RegistryTold { peer, std::move(*heartbeat) });
+            post(forward::RegistryHeartbeatReceived { peer, std::move(*heartbeat) });
         } else if (auto* list = std::get_if<RegistryList>(&message)) {
-            post(forward::RegistryListed { peer, std::move(*list) });
+            post(forward::RegistryListReceived { peer, std::move(*list) });
         } else if (const auto* change = std::get_if<StageChange>(&message)) {
             post(*change);
         } else if (auto* crashes = std::get_if<CrashReport>(&message)) {
-            post(forward::CrashesTold { std::move(*crashes) });
+            post(forward::CrashesReported { std::move(*crashes) });
         } else if (auto* totals = std::get_if<QuotaTotals>(&message)) {
-            post(forward::QuotaTold { peer, std::move(*totals) });
+            post(forward::QuotaTotalsReceived { peer, std::move(*totals) });
         } else if (std::holds_alternative<DocumentOffer>(message) || std::holds_alternative<DocumentPart>(message)) {
-            m_documents.post(document::FromPeer { peer, std::move(message) });
+            m_documents.post(document::PeerMessage { peer, std::move(message) });
         }
     }
 
@@ -224,15 +224,15 @@
     {
         if (auto* ask = std::get_if<document::Ask>(&effect))
             m_hub.send(ask->to, ask->request);
-        else if (auto* take = std::get_if<document::Take>(&effect))
+        else if (auto* take = std::get_if<document::Install>(&effect))
             onDocument(*take);
         else if (auto* confirm = std::get_if<document::Confirm>(&effect))
-            post(forward::ConfirmDocument { confirm->version });
-        else if (auto* note = std::get_if<Note>(&effect))
+            post(forward::DocumentConfirmed { confirm->version });
+        else if (auto* note = std::get_if<LogEvent>(&effect))
             m_runtime.log().write(*note);
     }
 
-    void onDocument(const document::Take& take)
+    void onDocument(const document::Install& take)
     {
         auto document = m_reader.read(*take.text);
         if (!document) {
@@ -240,7 +240,7 @@
             m_runtime.log().write({ EventCode::DocumentRefused, {}, document.error().message });
             return;
         }
-        post(forward::TakeDocument { std::move(document.value()), take.isCurrent });
+        post(forward::DocumentReceived { std::move(document.value()), take.isCurrent });
     }
 
     // --- Effects out -------------------------------------------------------------------------------------------
@@ -291,13 +291,13 @@
     struct OwnAnswer {
         bool isSuccess = false;
         bool wasNotRun = false;
-        bool isOtherReplica = false;
+        bool isMisdirected = false;
     };
 
     static OwnAnswer readOwnAnswer(const GatheredAnswer& answer, const std::string& caller)
     {
         auto facts = Dialect::readAnswer(answer.head, caller);
-        return { answer.head.status == 200 && !facts.wasNotRun && !facts.isStream, facts.wasNotRun, facts.isOtherReplica };
+        return { answer.head.status == 200 && !facts.wasNotRun && !facts.isStream, facts.wasNotRun, facts.isMisdirected };
     }
 
     UpstreamCallHandlers prefillHandlers(const forward::Send& send, const std::string& caller)
@@ -308,14 +308,14 @@
             if (own.isSuccess && !handle)
                 m_runtime.refusals().note(Door::Report, replica.id, "its answer to a prompt names no usable handle");
             if (handle)
-                post(forward::PromptRead { id, attempt, std::move(*handle) });
+                post(forward::PrefillFinished { id, attempt, std::move(*handle) });
             else
-                post(forward::PromptNotRead { id, attempt, own.wasNotRun, own.isOtherReplica });
+                post(forward::PrefillFailed { id, attempt, own.wasNotRun, own.isMisdirected });
         };
         return gather(onEnd, {});
     }
 
-    void carry(forward::TakePlace& take)
+    void carry(forward::ReserveAtReplica& take)
     {
         auto* exchange = find(take.id);
         if (!exchange)
@@ -324,35 +324,38 @@
         auto attempt = take.attempt;
         auto onEnd = [this, caller = exchange->callerId, id, attempt, replica = take.replica](const GatheredAnswer& answer) {
             bool isTaken = readOwnAnswer(answer, caller).isSuccess;
-            auto place = isTaken ? Dialect::readPlace(answer.body) : std::nullopt;
-            if (isTaken && !place)
+            auto reservation = isTaken ? Dialect::readPlace(answer.body) : std::nullopt;
+            if (isTaken && !reservation)
                 m_runtime.refusals().note(Door::Report, replica.id, "its answer names no usable place");
-            if (place)
-                post(forward::PlaceTaken { id, attempt, std::move(*place) });
+            if (reservation)
+                post(forward::ReservationGranted { id, attempt, std::move(*reservation) });
             else
-                post(forward::PlaceRefused { id, attempt, true });
+                post(forward::ReservationRefused { id, attempt, true });
         };
-        auto onFailure = [this, id, attempt](bool, const std::string&) { post(forward::PlaceRefused { id, attempt, false }); };
+        auto onFailure = [this, id, attempt](bool, const std::string&) { post(forward::ReservationRefused { id, attempt, false }); };
         exchange->call = m_pool.call(take.replica, take.address, Dialect::takePlace(take), gather(onEnd, onFailure));
     }
 
-    void carry(forward::Reserve& reserve)
+    void carry(forward::ReserveAtSidecar& reserve)
     {
         auto* exchange = find(reserve.id);
         if (!exchange)
             return;
         m_hub.send(reserve.sidecar,
             ReservationRequest { reserve.id, reserve.attempt, exchange->callerId, reserve.promptTokens, reserve.expectedTokens,
-                reserve.mostTokens, reserve.slots });
+                reserve.maxOutputTokens, reserve.slots });
     }
 
-    void carry(forward::NotePrefill& note) { m_hub.send(note.sidecar, PrefillNotice { note.id, note.promptTokens, note.hasEnded }); }
+    void carry(forward::NotifyPrefill& note) { m_hub.send(note.sidecar, PrefillNotice { note.id, note.promptTokens, note.hasEnded }); }
 
-    void carry(forward::EndReservation& end) { m_hub.send(end.sidecar, ReservationEnd { end.id, end.isWhole, end.isBroken }); }
+    void carry(forward::EndSidecarReservation& end) { m_hub.send(end.sidecar, ReservationEnd { end.id, end.isComplete, end.hasFailed }); }
 
-    void carry(forward::DropPlace& drop) { tell(drop.place.replica, drop.place.address, Dialect::dropPlace(drop.place)); }
+    void carry(forward::ReleaseReservation& drop)
+    {
+        tell(drop.reservation.replica, drop.reservation.address, Dialect::dropPlace(drop.reservation));
+    }
 
-    void carry(forward::FreePrompt& free) { tell(free.source.replica, free.source.address, Dialect::freePrompt(free.source)); }
+    void carry(forward::ReleaseKvCache& free) { tell(free.source.replica, free.source.address, Dialect::freePrompt(free.source)); }
 
     /// A call that gives something back. What can't be given back lapses by itself within its hold, so nobody hears of a failure.
     void tell(const ReplicaRun& replica, const std::string& address, UpstreamRequest request)
@@ -399,7 +402,7 @@
             answer->end();
     }
 
-    void carry(forward::BreakStream& end)
+    void carry(forward::AbortStream& end)
     {
         if (auto answer = take(end.id))
             answer->breakOff();
@@ -407,26 +410,26 @@
 
     void carry(forward::Finished& finished) { m_metrics.record(finished); }
 
-    void carry(forward::ForgetReplica& forget) { m_pool.forget(forget.replica); }
+    void carry(forward::DropConnections& forget) { m_pool.forget(forget.replica); }
 
     /// The sidecar of an engine listens on its machine.
-    void carry(forward::LinkSidecar& link)
+    void carry(forward::ConnectSidecar& link)
     {
         if (m_settings.sidecarPort)
             m_hub.dial(withPort(link.engineAddress, m_settings.sidecarPort));
     }
 
-    void carry(forward::LeaveSidecar& leave)
+    void carry(forward::DisconnectSidecar& leave)
     {
         if (m_settings.sidecarPort)
             m_hub.leave(withPort(leave.engineAddress, m_settings.sidecarPort));
     }
 
-    void carry(forward::AskRegistry& ask) { m_hub.send(ask.controller, ask.request); }
+    void carry(forward::FetchRegistry& ask) { m_hub.send(ask.controller, ask.request); }
 
     void carry(forward::ReportLoad& load) { tellControllers(load.report); }
 
-    void carry(forward::TellCrashes& tell)
+    void carry(forward::ReportCrashes& tell)
     {
         if (tell.controller)
             m_hub.send(*tell.controller, tell.report);
@@ -434,10 +437,12 @@
             tellControllers(tell.report);
     }
 
-    void carry(forward::ReportUse& use)
+    void carry(forward::ReportQuotaUsage& use)
     {
         const auto& report = use.report;
-        tellControllers([&report](PeerId to) { return QuotaReport { report.uses, report.teller == to, report.asksForAll, report.told }; });
+        tellControllers([&report](PeerId to) {
+            return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.told };
+        });
     }
 
     void tellControllers(const Message& message)
@@ -465,7 +470,7 @@
         m_callers.setLimits(limits);
     }
 
-    void carry(Note& note)
+    void carry(LogEvent& note)
     {
         if (auto* exchange = find(note.request))
             note.text += " (" + exchange->callerId + ")";
@@ -522,11 +527,11 @@
                 const auto& announcement = entry.announcement;
                 auto found = logic.replicas().loads().find(announcement.run());
                 auto load = found == logic.replicas().loads().end() ? ReplicaTable::Load() : found->second;
-                bool isAvoided = load.avoidUntil > now;
+                bool isAvoided = load.backoffUntil > now;
                 auto state = announcement.state == ReplicaState::Draining ? "draining" : isAvoided ? "ejected" : "in-use";
                 list.push_back({ { "id", id }, { "service", announcement.service }, { "replica", id },
                     { "started_unix_ms", announcement.start.value() }, { "zone", announcement.zone }, { "kind", nameOf(announcement.kind) },
-                    { "state", state }, { "heard_ms", (now - entry.heardAt) / 1ms }, { "failing", load.failing },
+                    { "state", state }, { "heard_ms", (now - entry.lastHeardAt) / 1ms }, { "failing", load.failureRate },
                     { "mean_seconds", load.meanSeconds },
                     { "load",
                         { { "slots", announcement.slots }, { "occupied", load.calls }, { "queued", 0 }, { "tokens", load.tokens } } } });
--- a/src/process/GatewayRole.cpp
+++ b/src/process/GatewayRole.cpp
@@ -38,7 +38,7 @@
                   m_driver.post(gateway::PeerDown { peer });
               },
               [this](PeerId peer, Message&& message) {
-                  m_driver.post(gateway::FromPeer { peer, std::move(message) });
+                  m_driver.post(gateway::PeerMessage { peer, std::move(message) });
               },
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
               runtime.refusals().ofLinks() })
@@ -113,9 +113,9 @@
 void GatewayRole::carryOut(gateway::AnswerData& e) { m_callers.data(e.request, std::move(e.bytes)); }
 void GatewayRole::carryOut(gateway::AnswerEnd& e) { m_callers.end(e.request); }
 void GatewayRole::carryOut(gateway::AnswerError& e) { m_callers.error(e.request, e.error); }
-void GatewayRole::carryOut(gateway::AnswerBroken& e) { m_callers.breakOff(e.request, e.error); }
+void GatewayRole::carryOut(gateway::AnswerAborted& e) { m_callers.breakOff(e.request, e.error); }
 void GatewayRole::carryOut(gateway::Finished& e) { m_metrics.record(e.summary); }
-void GatewayRole::carryOut(Note& e) { m_runtime.log().write(e); }
+void GatewayRole::carryOut(LogEvent& e) { m_runtime.log().write(e); }
 
 void GatewayRole::carryOut(gateway::Drained&)
 {
--- a/src/process/GatewayRole.h
+++ b/src/process/GatewayRole.h
@@ -30,10 +30,10 @@
     void carryOut(gateway::AnswerData&);
     void carryOut(gateway::AnswerEnd&);
     void carryOut(gateway::AnswerError&);
-    void carryOut(gateway::AnswerBroken&);
+    void carryOut(gateway::AnswerAborted&);
     void carryOut(gateway::Finished&);
     void carryOut(gateway::Drained&);
-    void carryOut(Note&);
+    void carryOut(LogEvent&);
     [[nodiscard]] bool isReady() const;
     void leave();
     AdminReply admin(const AdminRequest&);
--- a/src/process/QuotaRelay.cpp
+++ b/src/process/QuotaRelay.cpp
@@ -19,12 +19,12 @@
 void QuotaRelay::peerUp(const Hello& peer)
 {
     if (peer.role == Role::Gateway)
-        boost::asio::post(m_strand, [this, id = peer.id, name = peer.name] { m_exchange.linked(id, name); });
+        boost::asio::post(m_strand, [this, id = peer.id, name = peer.name] { m_exchange.connected(id, name); });
 }
 
 void QuotaRelay::peerDown(PeerId peer)
 {
-    boost::asio::post(m_strand, [this, peer] { m_exchange.gone(peer, currentInstant()); });
+    boost::asio::post(m_strand, [this, peer] { m_exchange.disconnected(peer, currentInstant()); });
 }
 
 void QuotaRelay::receive(PeerId peer, QuotaReport report)
@@ -36,7 +36,7 @@
 {
     for (const auto& [peer, totals] : m_exchange.tell(currentInstant()))
         m_hub.send(peer, totals);
-    m_timer.expires_after(quota::tellEvery);
+    m_timer.expires_after(quota::broadcastInterval);
     m_timer.async_wait([this](ErrorCode ec) {
         if (!ec)
             tell();
--- a/src/process/QuotaRelay.h
+++ b/src/process/QuotaRelay.h
@@ -1,12 +1,12 @@
 /** \file
- * Carries a controller's QuotaExchange out, between its links.
+ * Carries a controller's QuotaAggregator out, between its links.
  *
  * Runs on the strand that it is given.
  */
 #pragma once
 
 #include "connection/PeerHub.h"
-#include "request/fleet/QuotaExchange.h"
+#include "request/fleet/QuotaAggregator.h"
 
 namespace wrenhinge {
 
@@ -26,7 +26,7 @@
     Strand m_strand;
     PeerHub& m_hub;
     boost::asio::steady_timer m_timer;
-    QuotaExchange m_exchange;
+    QuotaAggregator m_exchange;
 };
 
 } // namespace wrenhinge
--- a/src/process/Registrar.cpp
+++ b/src/process/Registrar.cpp
@@ -8,7 +8,7 @@
 
 bool isForRegistrar(const Message& message)
 {
-    return std::holds_alternative<Announced>(message) || std::holds_alternative<Withdrawn>(message)
+    return std::holds_alternative<RelayedAnnouncement>(message) || std::holds_alternative<ReplicaWithdrawn>(message)
         || std::holds_alternative<RegistryHeartbeat>(message) || std::holds_alternative<StageChange>(message)
         || std::holds_alternative<RegistryRequest>(message) || std::holds_alternative<RegistryList>(message);
 }
@@ -51,21 +51,21 @@
 
 void Registrar::peerDown(PeerId peer)
 {
-    boost::asio::post(m_strand, [this, peer] { m_follower.gone(peer); });
+    boost::asio::post(m_strand, [this, peer] { m_follower.disconnected(peer); });
 }
 
 void Registrar::receive(PeerId peer, const Message& message)
 {
     boost::asio::post(m_strand, [this, peer, message] {
-        if (const auto* announced = std::get_if<Announced>(&message)) {
+        if (const auto* announced = std::get_if<RelayedAnnouncement>(&message)) {
             take(announced->announcement, announced->age);
-        } else if (const auto* withdrawn = std::get_if<Withdrawn>(&message)) {
+        } else if (const auto* withdrawn = std::get_if<ReplicaWithdrawn>(&message)) {
             takeWithdrawal(withdrawn->run());
         } else if (const auto* change = std::get_if<StageChange>(&message)) {
             changeStage(*change);
         } else if (const auto* heartbeat = std::get_if<RegistryHeartbeat>(&message)) {
             m_registry.renew(*heartbeat, currentInstant());
-            m_follower.told(peer, heartbeat->digest, heartbeat->known);
+            m_follower.digestReceived(peer, heartbeat->digest, heartbeat->known);
             askIfNeeded();
         } else if (std::holds_alternative<RegistryRequest>(message)) {
             m_hub.send(peer, m_registry.list(currentInstant()));
@@ -80,7 +80,7 @@
 /// start of all controllers would tell each replica to each gateway as often as there are controllers.
 void Registrar::takeList(PeerId peer, const RegistryList& list)
 {
-    m_follower.listed(peer);
+    m_follower.listReceived(peer);
     for (const auto& announced : list.known) {
         bool takesWorkAway = announced.announcement.state == ReplicaState::Draining;
         if (note(announced.announcement, announced.age) && takesWorkAway)
@@ -97,7 +97,7 @@
 void Registrar::askIfNeeded()
 {
     auto now = currentInstant();
-    if (auto peer = m_follower.nextToAsk(m_registry.digest(), now))
+    if (auto peer = m_follower.nextPeerToQuery(m_registry.digest(), now))
         m_hub.send(*peer, RegistryRequest { m_registry.digest() });
     if (m_follower.nextWake() == Instant::max())
         return;
@@ -112,7 +112,7 @@
 {
     if (!note(announcement, age))
         return;
-    tellAll(Announced { announcement, age });
+    tellAll(RelayedAnnouncement { announcement, age });
     noteChange();
 }
 
@@ -137,7 +137,7 @@
     if (!m_registry.withdraw(run, currentInstant()))
         return;
     m_log.write({ EventCode::UpstreamDraining, {}, toString(run) + " has ended" });
-    tellAll(Withdrawn { run.id, run.start });
+    tellAll(ReplicaWithdrawn { run.id, run.start });
     if (!m_registry.entries().contains(run.id))
         m_changes.erase(run.id);
     noteChange();
@@ -179,7 +179,7 @@
 
 RegistryHeartbeat Registrar::heartbeatFor(Role role, std::uint32_t gateways) const
 {
-    auto names = role == Role::Gateway ? ReplicaRegistry::Names::Unrenewed : ReplicaRegistry::Names::All;
+    auto names = role == Role::Gateway ? ReplicaRegistry::HeartbeatScope::Stale : ReplicaRegistry::HeartbeatScope::All;
     auto message = m_registry.heartbeat(names, currentInstant());
     message.gateways = gateways;
     return message;
@@ -187,7 +187,7 @@
 
 void Registrar::sendHeartbeats()
 {
-    m_registry.forgetOld(currentInstant());
+    m_registry.removeExpired(currentInstant());
     noteChange();
     auto peers = m_hub.peers();
     auto isGateway = [](const Hello& peer) { return peer.role == Role::Gateway; };
--- a/src/process/Settings.cpp
+++ b/src/process/Settings.cpp
@@ -118,7 +118,7 @@
         node.optional("level", log.level, parseLevel);
         node.optional("file", log.file, parseText);
         node.optional("to-standard-output", log.toStandardOutput, parseYesNo);
-        node.refuseUnknown();
+        node.reportUnknownKeys();
     }
 
     void readCallers(SettingsNode node, CallerSettings& callers)
@@ -132,7 +132,7 @@
         node.optional("body-time", callers.bodyTime, parsePositiveDuration);
         node.optional("idle-time", callers.idleTime, parsePositiveDuration);
         node.optional("connection-limit", callers.connectionLimit, parsePositive);
-        node.refuseUnknown();
+        node.reportUnknownKeys();
     }
 
     void readUpstream(SettingsNode node, UpstreamSettings& upstream)
@@ -146,15 +146,15 @@
         node.optional("lease", upstream.lease, parsePositiveDuration);
         node.optional("announce-every", upstream.announceEvery, parsePositiveDuration);
         if (upstream.announceEvery * 2 > upstream.lease)
-            node.mistake("announce-every", "must be at most half the lease, or a single lost announcement ends it");
-        node.refuseUnknown();
+            node.addError("announce-every", "must be at most half the lease, or a single lost announcement ends it");
+        node.reportUnknownKeys();
     }
 
     void readEngine(SettingsNode node, EngineSettings& engine)
     {
         node.required("address", engine.address, parseAddress);
         node.optional("spare-deviations", engine.spareDeviations, parseRatio);
-        node.refuseUnknown();
+        node.reportUnknownKeys();
     }
 
     void readController(SettingsNode node, const std::string& self, ControllerSettings& controller)
@@ -168,26 +168,26 @@
             controller.members.push_back(member);
         });
         node.list("seeds", controller.seeds, parseAddress);
-        node.optional("losses-to-bear", controller.lossesToBear, parseLosses);
+        node.optional("losses-to-bear", controller.toleratedFailures, parseLosses);
         node.optional("door", controller.door, parseAddress);
         node.optional("election-timeout", controller.electionTimeout, parsePositiveDuration);
         node.optional("heartbeat", controller.heartbeat, parsePositiveDuration);
         node.optional("order-lease", controller.orderLease, parsePositiveDuration);
         if (controller.heartbeat * 3 > controller.electionTimeout)
-            node.mistake("heartbeat", "must be at most a third of the election timeout, or one lost message ends a leadership");
-        node.refuseUnknown();
+            node.addError("heartbeat", "must be at most a third of the election timeout, or one lost message ends a leadership");
+        node.reportUnknownKeys();
         if (!controller.seeds.empty()) {
             if (!controller.members.empty())
-                node.mistake("members", "are found by `seeds` here; remove one of the two");
+                node.addError("members", "are found by `seeds` here; remove one of the two");
             return;
         }
         if (controller.data.empty())
-            node.missing("data");
-        if (controller.lossesToBear)
-            node.mistake("losses-to-bear", "needs `seeds`: listed `members` don't change; list two for each loss and one more");
+            node.addMissing("data");
+        if (controller.toleratedFailures)
+            node.addError("losses-to-bear", "needs `seeds`: listed `members` don't change; list two for each loss and one more");
         auto isSelf = [&self](const MemberSettings& member) { return member.name == self; };
         if (std::count_if(controller.members.begin(), controller.members.end(), isSelf) != 1)
-            node.mistake("members", "must list this controller '" + self + "' exactly once");
+            node.addError("members", "must list this controller '" + self + "' exactly once");
     }
 
     void readRetries(SettingsNode node, RetryBudgetSettings& retries)
@@ -195,7 +195,7 @@
         node.optional("ratio", retries.ratio, parseRatio);
         node.optional("slack", retries.slack, parseRatio);
         node.optional("window", retries.window, parsePositiveDuration);
-        node.refuseUnknown();
+        node.reportUnknownKeys();
     }
 
     void readQuotas(SettingsNode node, QuotaSettings& quotas)
@@ -203,7 +203,7 @@
         node.optional("window", quotas.window, parsePositiveDuration);
         node.optional("excess", quotas.excess, parseRatio);
         node.optional("slack", quotas.slack, parseRatio);
-        node.refuseUnknown();
+        node.reportUnknownKeys();
     }
 
     void readAll(SettingsNode& root, Settings& settings)
@@ -234,7 +234,7 @@
         } else if (settings.role == Role::Sidecar) {
             root.list("gateways", settings.gateways, parseAddress);
             if (settings.gateways.empty())
-                root.mistake("gateways", "list at least one gateway's address");
+                root.addError("gateways", "list at least one gateway's address");
             readUpstream(root.child("upstream"), settings.upstream);
         }
         if (settings.role == Role::Controller)
@@ -243,7 +243,7 @@
             for (auto& address : *list)
                 address = withPort(address, settings.controllerPort);
         }
-        root.refuseUnknown();
+        root.reportUnknownKeys();
     }
 
 } // namespace
@@ -286,7 +286,7 @@
 
 Result<Settings> parseSettings(const std::string& text, const std::string& file)
 {
-    SettingsMistakes mistakes { file, {} };
+    SettingsErrors mistakes { file, {} };
     Settings settings;
     try {
         auto node = YAML::Load(text);
--- a/src/process/Settings.h
+++ b/src/process/Settings.h
@@ -52,7 +52,7 @@
     /// Where the log's members change while it runs: the peer addresses of some controllers, the founders at the first start.
     std::vector<std::string> seeds;
     /// How many controllers may be lost at once: the log keeps 2f + 1 voters where there are disks enough. Zero: as many as founded it.
-    std::uint32_t lossesToBear = 0;
+    std::uint32_t toleratedFailures = 0;
     std::string door; ///< Where replicas announce themselves and operators send routing documents.
     Duration electionTimeout = 400ms;
     Duration heartbeat = 80ms;
--- a/src/process/SidecarRole.cpp
+++ b/src/process/SidecarRole.cpp
@@ -10,19 +10,19 @@
 
     constexpr Duration flushLimit = 2s;
 
-    SidecarProfile profileOf(const Settings& settings, PeerId self)
+    SidecarOptions profileOf(const Settings& settings, PeerId self)
     {
-        SidecarProfile profile;
-        profile.self = self;
-        profile.service = settings.upstream.service;
-        profile.replica = settings.name;
-        profile.kind = settings.upstream.kind;
-        profile.model = settings.upstream.model;
-        profile.slots = settings.upstream.slots;
-        profile.lease = settings.upstream.lease;
-        profile.announceEvery = settings.upstream.announceEvery;
-        profile.resultLife = settings.upstream.resultLife;
-        return profile;
+        SidecarOptions options;
+        options.self = self;
+        options.service = settings.upstream.service;
+        options.replica = settings.name;
+        options.kind = settings.upstream.kind;
+        options.model = settings.upstream.model;
+        options.slots = settings.upstream.slots;
+        options.lease = settings.upstream.lease;
+        options.announceEvery = settings.upstream.announceEvery;
+        options.resultLife = settings.upstream.resultLife;
+        return options;
     }
 
 } // namespace
@@ -34,7 +34,7 @@
           { [this](const Hello& peer) { m_driver.post(sidecar::PeerUp { peer }); },
               [this](PeerId peer) { m_driver.post(sidecar::PeerDown { peer }); },
               [this](PeerId peer, Message&& message) {
-                  m_driver.post(sidecar::FromPeer { peer, std::move(message) });
+                  m_driver.post(sidecar::PeerMessage { peer, std::move(message) });
               },
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
               runtime.refusals().ofLinks() })
--- a/src/process/SidecarRole.h
+++ b/src/process/SidecarRole.h
@@ -28,7 +28,7 @@
     void carryOut(sidecar::AbortCall& e) { m_client->abort(e.call); }
     void carryOut(sidecar::ReleaseResult& e) { m_client->releaseResult(e.kvParams); }
     void carryOut(sidecar::Drained&);
-    void carryOut(Note& e) { m_runtime.log().write(e); }
+    void carryOut(LogEvent& e) { m_runtime.log().write(e); }
     void leave();
     AdminReply admin(const AdminRequest&);
 
--- a/src/process/StageKeeper.h
+++ b/src/process/StageKeeper.h
@@ -1,5 +1,5 @@
 /** \file
- * Carries out what StageOrders decides: calls to engines, fencing tokens from the log, news to gateways.
+ * Carries out what StageCoordinator decides: calls to engines, fencing tokens from the log, news to gateways.
  *
  * Runs on the controller's strand. The words of the calls to engines are a dialect's.
  */
@@ -8,7 +8,7 @@
 #include "base/SystemClock.h"
 #include "connection/UpstreamPool.h"
 #include "process/ControllerRole.h"
-#include "request/engine/StageOrders.h"
+#include "request/engine/StageCoordinator.h"
 
 namespace wrenhinge {
 
@@ -54,7 +54,7 @@
         , m_orders(role.registrar().registry(), lease, m_holder + "/" + toString(runtime.self()))
     {
         m_role.onEngineLoad = [this](PeerId gateway, const EngineLoadReport& report) {
-            boost::asio::post(m_role.strand(), [this, gateway, report] { post(stages::Reported { gateway, report }); });
+            boost::asio::post(m_role.strand(), [this, gateway, report] { post(stages::LoadReported { gateway, report }); });
         };
     }
 
@@ -75,7 +75,7 @@
     {
         if (m_isStopped)
             return;
-        post(stages::Leads { m_role.leadingTerm() });
+        post(stages::LeadershipChanged { m_role.leadingTerm() });
         post(stages::Tick {});
         m_timer.expires_after(tickEvery);
         m_timer.async_wait([this](ErrorCode ec) {
@@ -102,15 +102,15 @@
         m_pool.call(read.engine.run, read.engine.address, Dialect::readEngine(read.engine), gather(onEnd, onFailure));
     }
 
-    void carry(stages::TakeToken& take)
+    void carry(stages::AcquireToken& take)
     {
         m_role.propose(FenceCommand { take.engine, take.name }, [this, order = take.order](const ProposeReply& reply) {
             auto token = reply.code == ResultCode::Ok ? FencingToken(reply.number) : FencingToken();
-            boost::asio::post(m_role.strand(), [this, order, token] { post(stages::TokenTaken { order, token }); });
+            boost::asio::post(m_role.strand(), [this, order, token] { post(stages::TokenAcquired { order, token }); });
         });
     }
 
-    void carry(stages::GiveOrder& give)
+    void carry(stages::SendOrder& give)
     {
         auto onEnd = [this, order = give.order](const GatheredAnswer& answer) {
             post(stages::OrderAnswered { order, Dialect::orderAnswer(answer) });
@@ -121,7 +121,7 @@
         StageOrder order { give.engine, give.to, m_holder, give.token, give.acceptedBefore };
         auto call = m_pool.call(give.engine.run, give.engine.address, Dialect::giveOrder(order), gather(onEnd, onFailure));
         // What has not left by then must not leave later, when another controller may lead.
-        m_lateOrder.expires_after(StageOrders::stepLimit);
+        m_lateOrder.expires_after(StageCoordinator::stepTimeout);
         m_lateOrder.async_wait([call](ErrorCode ec) {
             if (!ec)
                 UpstreamPool::cancel(call);
@@ -130,7 +130,7 @@
 
     void carry(StageChange& change) { m_role.registrar().changeStage(change); }
 
-    void carry(Note& note) { m_log.write(note); }
+    void carry(LogEvent& note) { m_log.write(note); }
 
     ControllerRole& m_role;
     EventLog& m_log;
@@ -138,7 +138,7 @@
     boost::asio::steady_timer m_timer;
     boost::asio::steady_timer m_lateOrder { m_role.strand() };
     std::string m_holder;
-    StageOrders m_orders;
+    StageCoordinator m_orders;
     bool m_isStopped = false;
 };
 
--- a/src/request/engine/AnswerLengths.cpp
+++ b/src/request/engine/AnswerLengths.cpp
@@ -35,7 +35,7 @@
     return std::clamp((std::log2(ratio) + octaves) * binsPerOctave, 0.0, static_cast<double>(bins));
 }
 
-void AnswerLengths::note(std::uint32_t expected, std::uint32_t generated)
+void AnswerLengths::record(std::uint32_t expected, std::uint32_t generated)
 {
     if (!expected || !generated)
         return;
--- a/src/request/engine/AnswerLengths.h
+++ b/src/request/engine/AnswerLengths.h
@@ -19,7 +19,7 @@
     AnswerLengths();
 
     /// An answer has ended whole.
-    void note(std::uint32_t expected, std::uint32_t generated);
+    void record(std::uint32_t expected, std::uint32_t generated);
     /// The share of answers with this estimate that become longer than `length` tokens, of those that become longer than `generated`.
     [[nodiscard]] double survival(std::uint32_t expected, std::uint32_t generated, std::uint32_t length) const;
 
--- a/src/request/engine/EngineAdmission.cpp
+++ b/src/request/engine/EngineAdmission.cpp
@@ -23,7 +23,7 @@
 EngineAdmission::Effects EngineAdmission::step(const Event& event, Instant now)
 {
     std::visit([this, now](const auto& e) { on(e, now); }, event);
-    tellRoom(now);
+    sendHeadroom(now);
     return std::exchange(m_effects, {});
 }
 
@@ -39,50 +39,51 @@
     m_gateways.erase(event.gateway);
     std::erase_if(m_runs, [&event](const auto& item) { return item.second.gateway == event.gateway && !item.second.use.generated; });
     std::erase_if(m_prefills, [&event](const auto& item) { return item.second.gateway == event.gateway; });
-    updateRoom(now);
+    updateHeadroom(now);
 }
 
-void EngineAdmission::on(const Ask& event, Instant now)
+void EngineAdmission::on(const ReservationRequested& event, Instant now)
 {
     const auto& asked = event.request;
-    MemoryUse use { asked.promptTokens, 0, std::max(1u, asked.expectedTokens), std::max(asked.mostTokens, asked.expectedTokens) };
+    MemoryUse use { asked.promptTokens, 0, std::max(1u, asked.expectedTokens), std::max(asked.maxTokens, asked.expectedTokens) };
     bool isGranted = fits(use, asked.slots, now);
     if (isGranted) {
         m_runs[asked.run] = Run { asked.request, event.gateway, use, now };
-        m_trust.tried(asked.request, now);
-        updateRoom(now);
+        m_trust.recordSent(asked.request, now);
+        updateHeadroom(now);
     }
-    m_effects.push_back(Tell { event.gateway, ReservationReply { asked.request, asked.attempt, isGranted, m_room } });
+    m_effects.push_back(Send { event.gateway, ReservationReply { asked.request, asked.attempt, isGranted, m_headroom } });
 }
 
-void EngineAdmission::on(const Ended& event, Instant now)
+void EngineAdmission::on(const ReservationEnded& event, Instant now)
 {
     auto it = std::find_if(m_runs.begin(), m_runs.end(), [&event](const auto& item) { return item.second.request == event.end.request; });
     if (it == m_runs.end())
         return;
-    if (event.end.isWhole)
-        m_lengths.note(it->second.use.expected, it->second.use.generated);
+    if (event.end.isComplete)
+        m_lengths.record(it->second.use.expected, it->second.use.generated);
     noteEnd(event, now);
     m_runs.erase(it);
-    updateRoom(now);
+    updateHeadroom(now);
 }
 
-void EngineAdmission::noteEnd(const Ended& event, Instant now)
+void EngineAdmission::noteEnd(const ReservationEnded& event, Instant now)
 {
-    bool wasTrusted = m_trust.isTrusted();
-    if (event.end.isWhole)
-        m_trust.noteWhole();
-    else if (event.end.isBroken)
-        m_trust.noteBroken(event.gateway, event.end.request, now);
+    bool wasTrusted = m_trust.isClosed();
+    if (event.end.isComplete)
+        m_trust.recordSuccess();
+    else if (event.end.hasFailed)
+        m_trust.recordFailure(event.gateway, event.end.request, now);
     else
-        m_trust.noteUnused(event.end.request);
-    if (wasTrusted != m_trust.isTrusted()) {
+        m_trust.recordUnused(event.end.request);
+    if (wasTrusted != m_trust.isClosed()) {
         auto code = wasTrusted ? EventCode::UpstreamEjected : EventCode::UpstreamReturned;
-        m_effects.push_back(Note { code, {}, m_settings.engineAddress + (wasTrusted ? " breaks what it is sent" : " has served again") });
+        m_effects.push_back(
+            LogEvent { code, {}, m_settings.engineAddress + (wasTrusted ? " breaks what it is sent" : " has served again") });
     }
 }
 
-void EngineAdmission::on(const Prefilling& event, Instant now)
+void EngineAdmission::on(const PrefillReported& event, Instant now)
 {
     const auto& notice = event.notice;
     if (notice.hasEnded)
@@ -120,15 +121,15 @@
 
 std::uint64_t EngineAdmission::available() const { return m_report->total - std::min(m_report->total, m_others); }
 
-std::uint64_t EngineAdmission::room() const { return m_room; }
+std::uint64_t EngineAdmission::headroom() const { return m_headroom; }
 
-void EngineAdmission::updateRoom(Instant now)
+void EngineAdmission::updateHeadroom(Instant now)
 {
-    m_room = 0;
+    m_headroom = 0;
     if (!isOpen(now))
         return;
     auto needed = static_cast<std::uint64_t>(forecastPeak(uses(), m_lengths, m_settings.spareDeviations));
-    m_room = available() - std::min(available(), needed);
+    m_headroom = available() - std::min(available(), needed);
 }
 
 /// Whether the room has changed by so much that gateways would choose otherwise.
@@ -138,25 +139,25 @@
         return false;
     if (m_told->prefillBacklog != prefillBacklog())
         return true;
-    auto change = std::max(m_room, m_told->tokens) - std::min(m_room, m_told->tokens);
+    auto change = std::max(m_headroom, m_told->tokens) - std::min(m_headroom, m_told->tokens);
     return change && (!m_report || change >= m_report->total / toldPart);
 }
 
 /// Says nothing before the engine has answered once: gateways then reserve at the engine, as without a sidecar.
-void EngineAdmission::tellRoom(Instant now)
+void EngineAdmission::sendHeadroom(Instant now)
 {
     if (!m_told && (!m_report || now < m_announcedAt))
         return;
     bool isForAll = !m_told || (isNews() && now - m_toldAt >= tellAgainAfter) || now - m_toldAt >= tellEvery;
-    EngineRoom room { m_settings.engineAddress, m_room, prefillBacklog() };
+    EngineHeadroom headroom { m_settings.engineAddress, m_headroom, prefillBacklog() };
     for (auto& [gateway, hasBeenTold] : m_gateways) {
         if (isForAll || !hasBeenTold)
-            m_effects.push_back(Tell { gateway, room });
+            m_effects.push_back(Send { gateway, headroom });
         hasBeenTold = true;
     }
     if (!isForAll)
         return;
-    m_told = std::move(room);
+    m_told = std::move(headroom);
     m_toldAt = now;
 }
 
@@ -195,14 +196,14 @@
         m_announcedAt = now + unannouncedLimit;
     m_report = event.report;
     std::uint64_t ofRuns = 0;
-    for (const auto& run : m_report->runs) {
+    for (const auto& run : m_report->running) {
         ofRuns += run.tokens;
         takeRun(run, now);
     }
     m_others = m_report->used - std::min(m_report->used, ofRuns);
     std::erase_if(m_runs, [now](const auto& item) { return now - item.second.seenAt > unusedLimit; });
     std::erase_if(m_prefills, [now](const auto& item) { return now - item.second.since > longestPrefill; });
-    updateRoom(now);
+    updateHeadroom(now);
 }
 
 void EngineAdmission::forgetEngine(Instant now)
@@ -212,10 +213,10 @@
     m_prefills.clear();
     m_others = 0;
     m_trust = {};
-    updateRoom(now);
+    updateHeadroom(now);
 }
 
-void EngineAdmission::takeRun(const EngineRun& seen, Instant now)
+void EngineAdmission::takeRun(const RunningRequest& seen, Instant now)
 {
     auto [it, isUnknown] = m_runs.try_emplace(seen.id);
     auto& run = it->second;
@@ -234,7 +235,7 @@
 }
 
 /// How many tokens an event of a stream stands for, from an answer whose prompt is known.
-void EngineAdmission::learnStride(const EngineRun& seen, const Run& run)
+void EngineAdmission::learnStride(const RunningRequest& seen, const Run& run)
 {
     if (!run.request || !seen.events || seen.tokens <= run.use.promptTokens)
         return;
--- a/src/request/engine/EngineAdmission.h
+++ b/src/request/engine/EngineAdmission.h
@@ -8,14 +8,15 @@
  * report every `readEvery`, knows each request's prompt and estimate, and admits by what the answers together are expected to need
  * (MemoryForecast). Gateways are told how much room there is, so that they ask where there is some.
  *
- * It also hears from all gateways how runs end (EngineTrust): an engine that says it is well and breaks whatever it is sent gets no more.
- * An engine that does not answer has no room. A sidecar that is gone leaves the engine as it is: gateways then reserve at the engine.
+ * It also hears from all gateways how runs end (EngineCircuitBreaker): an engine that says it is well and breaks whatever it is sent gets
+ * no more. An engine that does not answer has no room. A sidecar that is gone leaves the engine as it is: gateways then reserve at the
+ * engine.
  */
 #pragma once
 
 #include "base/EventCode.h"
 #include "message/Messages.h"
-#include "request/engine/EngineTrust.h"
+#include "request/engine/EngineCircuitBreaker.h"
 #include "request/engine/MemoryForecast.h"
 
 #include <map>
@@ -29,7 +30,7 @@
 namespace admission {
 
     /// One run in an engine's report.
-    struct EngineRun {
+    struct RunningRequest {
         std::string id;
         std::uint32_t tokens = 0; ///< In memory, prompt and answer.
         std::uint32_t events = 0; ///< Of its stream, so far.
@@ -40,7 +41,7 @@
         std::uint64_t waiting = 0; ///< Requests that it has taken and that do not run: there is no memory for them now.
         std::uint64_t total = 0; ///< Tokens that the memory holds.
         std::uint64_t used = 0; ///< Tokens that can't be dropped, whatever they belong to.
-        std::vector<EngineRun> runs;
+        std::vector<RunningRequest> running;
     };
 
     // Events.
@@ -50,15 +51,15 @@
     struct GatewayDown {
         PeerId gateway;
     };
-    struct Ask {
+    struct ReservationRequested {
         PeerId gateway;
         ReservationRequest request;
     };
-    struct Ended {
+    struct ReservationEnded {
         PeerId gateway;
         ReservationEnd end;
     };
-    struct Prefilling {
+    struct PrefillReported {
         PeerId gateway;
         PrefillNotice notice;
     };
@@ -68,17 +69,17 @@
         std::optional<EngineReport> report;
     };
     struct Tick { };
-    using Event = std::variant<GatewayUp, GatewayDown, Ask, Ended, Prefilling, EngineRead, Tick>;
+    using Event = std::variant<GatewayUp, GatewayDown, ReservationRequested, ReservationEnded, PrefillReported, EngineRead, Tick>;
 
     // Effects.
-    struct Tell {
+    struct Send {
         PeerId to;
         Message message;
     };
     struct ReadEngine {
         std::uint64_t number = 0; ///< Pairs the answer; those to earlier ones are late.
     };
-    using Effect = std::variant<Tell, ReadEngine, Note>;
+    using Effect = std::variant<Send, ReadEngine, LogEvent>;
 
 } // namespace admission
 
@@ -123,8 +124,8 @@
     [[nodiscard]] Instant nextWake() const;
 
     /// Tokens that the memory can take beyond what is expected to be needed.
-    [[nodiscard]] std::uint64_t room() const;
-    [[nodiscard]] std::size_t runs() const { return m_runs.size(); }
+    [[nodiscard]] std::uint64_t headroom() const;
+    [[nodiscard]] std::size_t running() const { return m_runs.size(); }
     /// Tokens of the prompts that were sent to the engine to be read for others, and are not read yet.
     [[nodiscard]] std::uint64_t prefillBacklog() const;
 
@@ -144,33 +145,33 @@
 
     void on(const admission::GatewayUp&, Instant);
     void on(const admission::GatewayDown&, Instant);
-    void on(const admission::Ask&, Instant);
-    void on(const admission::Ended&, Instant);
-    void on(const admission::Prefilling&, Instant);
+    void on(const admission::ReservationRequested&, Instant);
+    void on(const admission::ReservationEnded&, Instant);
+    void on(const admission::PrefillReported&, Instant);
     void on(const admission::EngineRead&, Instant);
     void on(const admission::Tick&, Instant);
 
-    void noteEnd(const admission::Ended&, Instant);
+    void noteEnd(const admission::ReservationEnded&, Instant);
     void forgetEngine(Instant);
-    void takeRun(const admission::EngineRun&, Instant);
-    void learnStride(const admission::EngineRun&, const Run&);
+    void takeRun(const admission::RunningRequest&, Instant);
+    void learnStride(const admission::RunningRequest&, const Run&);
     void read(Instant);
-    void tellRoom(Instant);
+    void sendHeadroom(Instant);
     [[nodiscard]] bool fits(const MemoryUse& added, std::uint32_t slots, Instant now) const;
     [[nodiscard]] std::vector<MemoryUse> uses() const;
     [[nodiscard]] std::uint64_t available() const;
-    void updateRoom(Instant);
+    void updateHeadroom(Instant);
     /// Not while requests wait there: an engine that has set streams back keeps a few of them waiting, and refuses whatever comes then,
     /// after its prompt was read elsewhere.
     [[nodiscard]] bool isOpen(Instant now) const
     {
-        return m_report && m_report->isDecode && !m_report->waiting && now >= m_announcedAt && m_trust.mayTry(now);
+        return m_report && m_report->isDecode && !m_report->waiting && now >= m_announcedAt && m_trust.allowsRequest(now);
     }
     [[nodiscard]] bool isNews() const;
 
     Settings m_settings;
     AnswerLengths m_lengths;
-    EngineTrust m_trust;
+    EngineCircuitBreaker m_trust;
     std::map<std::string, Run> m_runs; ///< By the engine's name for them.
     std::map<RequestId, Prefill> m_prefills;
     std::map<PeerId, bool> m_gateways; ///< Whether each has been told of the room.
@@ -185,8 +186,8 @@
 
     Instant m_announcedAt; ///< When gateways have heard of the engine's present run.
 
-    std::uint64_t m_room = 0;
-    std::optional<EngineRoom> m_told;
+    std::uint64_t m_headroom = 0;
+    std::optional<EngineHeadroom> m_told;
     Instant m_toldAt;
     Effects m_effects;
 };
--- a/src/request/engine/EngineTrust.h
+++ b/src/request/engine/EngineCircuitBreaker.h
@@ -18,30 +18,30 @@
 
 namespace wrenhinge {
 
-class EngineTrust {
+class EngineCircuitBreaker {
 public:
     /// Broken ends in a row after which nothing more is sent.
-    static constexpr std::size_t mostBroken = 3;
+    static constexpr std::size_t failureThreshold = 3;
     /// For how long, at first; twice as long after each try that is broken too, up to the longest.
-    static constexpr Duration firstPause = 500ms;
-    static constexpr Duration longestPause = 4s;
+    static constexpr Duration initialOpenTime = 500ms;
+    static constexpr Duration maxOpenTime = 4s;
     /// A try that has not ended by then, with the longest streams of 14 s, is followed by another one.
-    static constexpr Duration tryLasts = 5s;
+    static constexpr Duration probeTimeout = 5s;
 
-    [[nodiscard]] bool isTrusted() const { return m_broken < mostBroken || m_gateways.size() < 2; }
+    [[nodiscard]] bool isClosed() const { return m_broken < failureThreshold || m_gateways.size() < 2; }
     /// Whether another request may be sent now.
-    [[nodiscard]] bool mayTry(Instant now) const;
+    [[nodiscard]] bool allowsRequest(Instant now) const;
     /// A request is sent.
-    void tried(const RequestId&, Instant now);
-    void noteWhole() { *this = {}; }
-    void noteBroken(PeerId gateway, const RequestId&, Instant now);
+    void recordSent(const RequestId&, Instant now);
+    void recordSuccess() { *this = {}; }
+    void recordFailure(PeerId gateway, const RequestId&, Instant now);
     /// The request was not sent after all.
-    void noteUnused(const RequestId&);
+    void recordUnused(const RequestId&);
 
 private:
     std::size_t m_broken = 0; ///< In a row.
     std::set<PeerId> m_gateways; ///< That have told of these.
-    Duration m_pause = firstPause;
+    Duration m_pause = initialOpenTime;
     Instant m_closedUntil;
     std::optional<RequestId> m_try; ///< The one that decides.
     Instant m_triedAt;
--- a/src/request/engine/EngineRooms.h
+++ b/src/request/engine/EngineHeadroomTable.h
@@ -16,19 +16,19 @@
 
 namespace wrenhinge {
 
-class EngineRooms {
+class EngineHeadroomTable {
 public:
-    struct Room {
+    struct Headroom {
         PeerId sidecar;
         std::uint64_t tokens = 0; ///< Zero: the engine takes no request.
         std::uint64_t prefillBacklog = 0; ///< Tokens of prompts that wait to be read.
     };
 
     /// \param address the engine's. \returns whether there is more room than before.
-    bool tell(const std::string& address, const Room& room)
+    bool update(const std::string& address, const Headroom& headroom)
     {
-        auto former = std::exchange(m_rooms[address], room);
-        return room.tokens > former.tokens;
+        auto former = std::exchange(m_rooms[address], headroom);
+        return headroom.tokens > former.tokens;
     }
     void setTokens(const std::string& address, std::uint64_t tokens)
     {
@@ -51,14 +51,14 @@
         std::erase_if(m_rooms, [sidecar](const auto& item) { return item.second.sidecar == sidecar; });
     }
     /// \returns nullptr if no sidecar tells of the engine.
-    [[nodiscard]] const Room* find(const std::string& address) const
+    [[nodiscard]] const Headroom* find(const std::string& address) const
     {
         auto it = m_rooms.find(address);
         return it == m_rooms.end() ? nullptr : &it->second;
     }
 
 private:
-    std::map<std::string, Room> m_rooms; ///< By the engine's address.
+    std::map<std::string, Headroom> m_rooms; ///< By the engine's address.
 };
 
 } // namespace wrenhinge
--- a/src/request/engine/EngineLoad.cpp
+++ b/src/request/engine/EngineLoad.cpp
@@ -4,7 +4,8 @@
 
 namespace wrenhinge {
 
-void EngineLoad::admit(const std::string& name, const EngineFacts& facts, std::uint32_t promptTokens, std::uint32_t tokens, Instant now)
+void EngineLoad::admit(
+    const std::string& name, const EngineProperties& facts, std::uint32_t promptTokens, std::uint32_t tokens, Instant now)
 {
     auto& service = m_services[name];
     service.facts = facts;
@@ -15,7 +16,7 @@
     service.tokens += tokens;
 }
 
-void EngineLoad::noteRead(const std::string& name, std::uint32_t promptTokens, Duration took)
+void EngineLoad::recordPrefill(const std::string& name, std::uint32_t promptTokens, Duration took)
 {
     auto& service = m_services[name];
     auto sample = toSeconds(took) / std::max(1u, promptTokens);
@@ -23,7 +24,7 @@
     service.secondsPerToken = isFirst ? sample : std::min(sample, service.secondsPerToken * (1 + forgetFastest));
 }
 
-void EngineLoad::leave(const std::string& name, Instant admittedAt, bool isServed, Instant now)
+void EngineLoad::finish(const std::string& name, Instant admittedAt, bool isServed, Instant now)
 {
     auto& service = m_services.at(name);
     --service.running;
--- a/src/request/engine/EngineLoad.h
+++ b/src/request/engine/EngineLoad.h
@@ -33,11 +33,11 @@
     static constexpr double forgetFastest = 0.002;
 
     /// A request begins to run. \param tokens what it takes up of a decode replica's memory.
-    void admit(const std::string& service, const EngineFacts&, std::uint32_t promptTokens, std::uint32_t tokens, Instant now);
+    void admit(const std::string& service, const EngineProperties&, std::uint32_t promptTokens, std::uint32_t tokens, Instant now);
     /// A request that was admitted has ended. \param isServed whether its answer was whole.
-    void leave(const std::string& service, Instant admittedAt, bool isServed, Instant now);
+    void finish(const std::string& service, Instant admittedAt, bool isServed, Instant now);
     /// A prefill replica has read a prompt.
-    void noteRead(const std::string& service, std::uint32_t promptTokens, Duration took);
+    void recordPrefill(const std::string& service, std::uint32_t promptTokens, Duration took);
     /// The means since the last call; a service of which too little is known, or without work since then, is left out.
     EngineLoadReport take(Instant now);
     /// Whether there was work since the last call of `take`.
@@ -45,7 +45,7 @@
 
 private:
     struct Service {
-        EngineFacts facts;
+        EngineProperties facts;
         double secondsPerToken = 0; ///< Of the fastest read.
         double endedSeconds = 0; ///< Of requests that have ended, however they did.
         double answers = 0; ///< Of these, the ones that were served.
--- a/src/request/engine/StageOrders.cpp
+++ b/src/request/engine/StageCoordinator.cpp
@@ -1,4 +1,4 @@
-#include "request/engine/StageOrders.h"
+#include "request/engine/StageCoordinator.h"
 
 #include <algorithm>
 #include <array>
@@ -14,21 +14,21 @@
     {
         std::array<char, 160> text {};
         std::snprintf(text.data(), text.size(), "%s to %s, busy %.2f prefill %.2f decode, of %zu replicas",
-            toString(change.engine.run).c_str(), change.to == UpstreamKind::Decode ? "decode" : "prefill", pool.prefillBusy,
-            pool.decodeBusy, pool.engines.size());
+            toString(change.engine.run).c_str(), change.to == UpstreamKind::Decode ? "decode" : "prefill", pool.prefillLoad,
+            pool.decodeLoad, pool.engines.size());
         return text.data();
     }
 
 } // namespace
 
-StageOrders::StageOrders(const ReplicaRegistry& registry, Duration lease, std::string self)
+StageCoordinator::StageCoordinator(const ReplicaRegistry& registry, Duration lease, std::string self)
     : m_registry(registry)
     , m_lease(lease)
     , m_self(std::move(self))
 {
 }
 
-StageOrders::Effects StageOrders::step(const Event& event, Instant now)
+StageCoordinator::Effects StageCoordinator::step(const Event& event, Instant now)
 {
     giveUpFormerRun(now);
     std::visit([this, now](const auto& e) { on(e, now); }, event);
@@ -37,7 +37,7 @@
 
 /// Drops the order under way if its engine has started again. Before every event, so that no answer of the former run is believed
 /// once the newer one is known.
-void StageOrders::giveUpFormerRun(Instant now)
+void StageCoordinator::giveUpFormerRun(Instant now)
 {
     const auto& run = m_change.engine.run;
     auto newest = m_registry.newestRun(run.id);
@@ -48,7 +48,7 @@
     fail("it has started again", Duration::zero(), now);
 }
 
-void StageOrders::on(const Leads& event, Instant now)
+void StageCoordinator::on(const LeadershipChanged& event, Instant now)
 {
     if (event.term == m_term)
         return;
@@ -59,7 +59,7 @@
     m_step = Step::Idle;
 }
 
-void StageOrders::on(const Reported& event, Instant now)
+void StageCoordinator::on(const LoadReported& event, Instant now)
 {
     for (const auto& [service, busy] : event.report.services) {
         auto [it, isNew] = m_loads[service].try_emplace(event.gateway, Load { busy, now, now });
@@ -73,7 +73,7 @@
     }
 }
 
-void StageOrders::on(const Tick&, Instant now)
+void StageCoordinator::on(const Tick&, Instant now)
 {
     std::erase_if(m_engineRestsUntil, [now](const auto& item) { return item.second <= now; });
     if (m_step == Step::Ordering && now - m_stepBegan > stepLimit)
@@ -90,7 +90,7 @@
 
 /// The service's engines as they stand, and how busy its stages are over all gateways. A pool that was not observed for long
 /// enough looks idle.
-Pool StageOrders::poolOf(const std::string& service, Instant now)
+Pool StageCoordinator::poolOf(const std::string& service, Instant now)
 {
     Pool pool;
     for (const auto& [id, entry] : m_registry.entries()) {
@@ -99,7 +99,7 @@
         if (!isUsable)
             continue;
         bool isChanging = entry.isChanging(now);
-        auto kind = isChanging ? *entry.changesTo : a.kind;
+        auto kind = isChanging ? *entry.pendingStage : a.kind;
         if (!isChanging && !m_engineRestsUntil.contains(a.run()))
             pool.engines.push_back({ a.run(), a.address, a.zone, kind });
         else
@@ -111,14 +111,14 @@
     if (!isObserved)
         return pool;
     for (const auto& [gateway, load] : loads) {
-        pool.prefillBusy += load.busy.prefill;
-        pool.decodeBusy += load.busy.decode;
+        pool.prefillLoad += load.busy.prefill;
+        pool.decodeLoad += load.busy.decode;
         pool.changeTakes = load.busy.stageChange;
     }
     return pool;
 }
 
-void StageOrders::planService(const std::string& service, Instant now)
+void StageCoordinator::planService(const std::string& service, Instant now)
 {
     auto pool = poolOf(service, now);
     auto change = plan(pool);
@@ -132,7 +132,7 @@
     begin(service, *change, now);
 }
 
-Duration StageOrders::pauseInDirection(const std::string& service) const
+Duration StageCoordinator::pauseInDirection(const std::string& service) const
 {
     const auto& entries = m_registry.entries();
     auto engines = std::count_if(entries.begin(), entries.end(), [&service](const auto& item) {
@@ -142,7 +142,7 @@
     return std::min<Duration>(nextInDirection, wholeSiteWithin / std::max<std::ptrdiff_t>(1, engines));
 }
 
-void StageOrders::begin(const std::string& service, const Change& change, Instant now)
+void StageCoordinator::begin(const std::string& service, const Change& change, Instant now)
 {
     m_service = service;
     m_change = change;
@@ -151,7 +151,7 @@
     m_effects.push_back(ReadEngine { ++m_order, change.engine });
 }
 
-void StageOrders::on(const EngineRead& event, Instant now)
+void StageCoordinator::on(const EngineRead& event, Instant now)
 {
     if (!isCurrent(event.order, Step::Reading))
         return;
@@ -164,10 +164,10 @@
     m_acceptedBefore = event.state->accepted;
     m_step = Step::TakingToken;
     m_stepBegan = now;
-    m_effects.push_back(TakeToken { m_order, run.id, m_self + "/" + std::to_string(m_order) });
+    m_effects.push_back(AcquireToken { m_order, run.id, m_self + "/" + std::to_string(m_order) });
 }
 
-void StageOrders::on(const TokenTaken& event, Instant now)
+void StageCoordinator::on(const TokenAcquired& event, Instant now)
 {
     if (!isCurrent(event.order, Step::TakingToken))
         return;
@@ -176,10 +176,10 @@
     m_step = Step::Ordering;
     m_stepBegan = now;
     m_reason += ", token " + std::to_string(event.token.value()) + ", after " + std::to_string(m_acceptedBefore) + " orders";
-    m_effects.push_back(GiveOrder { m_order, m_change.engine, m_change.to, event.token, m_acceptedBefore });
+    m_effects.push_back(SendOrder { m_order, m_change.engine, m_change.to, event.token, m_acceptedBefore });
 }
 
-void StageOrders::on(const OrderAnswered& event, Instant now)
+void StageCoordinator::on(const OrderAnswered& event, Instant now)
 {
     if (!isCurrent(event.order, Step::Ordering))
         return;
@@ -195,15 +195,15 @@
     m_reverseFrom[m_service] = now + m_changeTakes + settle;
     m_lastDirection[m_service] = m_change.to;
     m_effects.push_back(StageChange { m_change.engine.run.id, m_change.to, m_changeTakes + endsRunningWithin, m_change.engine.run.start });
-    m_effects.push_back(Note { EventCode::StageOrdered, {}, m_reason });
+    m_effects.push_back(LogEvent { EventCode::StageOrdered, {}, m_reason });
 }
 
-void StageOrders::fail(const std::string& why, Duration engineRests, Instant now)
+void StageCoordinator::fail(const std::string& why, Duration engineRests, Instant now)
 {
     m_step = Step::Idle;
     if (engineRests > Duration::zero())
         m_engineRestsUntil[m_change.engine.run] = now + engineRests;
-    m_effects.push_back(Note { EventCode::StageOrderFailed, {}, m_reason + ": " + why });
+    m_effects.push_back(LogEvent { EventCode::StageOrderFailed, {}, m_reason + ": " + why });
 }
 
 } // namespace wrenhinge
--- a/src/request/engine/StageOrders.h
+++ b/src/request/engine/StageCoordinator.h
@@ -47,10 +47,10 @@
 
     // Events.
     /// The term in which this controller leads; zero: it does not.
-    struct Leads {
+    struct LeadershipChanged {
         std::uint64_t term = 0;
     };
-    struct Reported {
+    struct LoadReported {
         PeerId gateway;
         EngineLoadReport report;
     };
@@ -59,8 +59,8 @@
         std::uint64_t order = 0;
         std::optional<EngineState> state;
     };
-    /// The answer to TakeToken; zero if none was committed.
-    struct TokenTaken {
+    /// The answer to AcquireToken; zero if none was committed.
+    struct TokenAcquired {
         std::uint64_t order = 0;
         FencingToken token;
     };
@@ -69,30 +69,30 @@
         OrderAnswer answer = OrderAnswer::None;
     };
     struct Tick { };
-    using Event = std::variant<Leads, Reported, EngineRead, TokenTaken, OrderAnswered, Tick>;
+    using Event = std::variant<LeadershipChanged, LoadReported, EngineRead, TokenAcquired, OrderAnswered, Tick>;
 
     // Effects. `order` pairs the answers; those to earlier orders are late.
     struct ReadEngine {
         std::uint64_t order = 0;
         Engine engine;
     };
-    struct TakeToken {
+    struct AcquireToken {
         std::uint64_t order = 0;
         std::string engine;
         std::string name; ///< Unique for the order.
     };
-    struct GiveOrder {
+    struct SendOrder {
         std::uint64_t order = 0;
         Engine engine;
         UpstreamKind to = UpstreamKind::Decode;
         FencingToken token;
         std::uint64_t acceptedBefore = 0;
     };
-    using Effect = std::variant<ReadEngine, TakeToken, GiveOrder, StageChange, Note>;
+    using Effect = std::variant<ReadEngine, AcquireToken, SendOrder, StageChange, LogEvent>;
 
 } // namespace stages
 
-class StageOrders {
+class StageCoordinator {
 public:
     using Effects = std::vector<stages::Effect>;
 
@@ -126,22 +126,22 @@
     static constexpr Duration endsRunningWithin = 4s;
 
     /// \param lease how far apart the orders of two controllers must lie. \param self a name that is unique among controllers' runs.
-    StageOrders(const ReplicaRegistry&, Duration lease, std::string self);
+    StageCoordinator(const ReplicaRegistry&, Duration lease, std::string self);
 
     Effects step(const stages::Event&, Instant now);
 
 private:
     enum class Step : std::uint8_t { Idle, Reading, TakingToken, Ordering };
     struct Load {
-        EngineBusy busy;
+        StageLoad busy;
         Instant since;
         Instant at;
     };
 
-    void on(const stages::Leads&, Instant);
-    void on(const stages::Reported&, Instant);
+    void on(const stages::LeadershipChanged&, Instant);
+    void on(const stages::LoadReported&, Instant);
     void on(const stages::EngineRead&, Instant);
-    void on(const stages::TokenTaken&, Instant);
+    void on(const stages::TokenAcquired&, Instant);
     void on(const stages::OrderAnswered&, Instant);
     void on(const stages::Tick&, Instant);
     void giveUpFormerRun(Instant);
--- a/src/request/engine/StagePlan.cpp
+++ b/src/request/engine/StagePlan.cpp
@@ -14,8 +14,8 @@
     constexpr double prefillSpare = 0.5;
     double busiest(const Pool& pool, std::size_t prefill, std::size_t decode)
     {
-        auto needsPrefill = pool.prefillBusy + prefillSpare * std::sqrt(pool.prefillBusy);
-        return std::max(needsPrefill / static_cast<double>(prefill), pool.decodeBusy / static_cast<double>(decode));
+        auto needsPrefill = pool.prefillLoad + prefillSpare * std::sqrt(pool.prefillLoad);
+        return std::max(needsPrefill / static_cast<double>(prefill), pool.decodeLoad / static_cast<double>(decode));
     }
 
     /// How many of so many engines had best be prefill replicas.
@@ -66,7 +66,7 @@
         return std::nullopt;
     if (best < prefill && ownPrefill)
         return Change { engineToChange(pool, UpstreamKind::Prefill), UpstreamKind::Decode };
-    bool isPrefillBusy = pool.prefillBusy >= leastPrefillBusy * static_cast<double>(prefill);
+    bool isPrefillBusy = pool.prefillLoad >= leastPrefillBusy * static_cast<double>(prefill);
     if (best > prefill && ownDecode && isPrefillBusy)
         return Change { engineToChange(pool, UpstreamKind::Decode), UpstreamKind::Prefill };
     return std::nullopt;
--- a/src/request/engine/StagePlan.h
+++ b/src/request/engine/StagePlan.h
@@ -48,8 +48,8 @@
     std::vector<Engine> engines;
     std::size_t becomingPrefill = 0;
     std::size_t becomingDecode = 0;
-    double prefillBusy = 0;
-    double decodeBusy = 0;
+    double prefillLoad = 0;
+    double decodeLoad = 0;
     Duration changeTakes {}; ///< How long an engine that changes its stage is away.
 };
 
--- a/src/request/fleet/AccountQuota.cpp
+++ b/src/request/fleet/AccountQuota.cpp
@@ -6,13 +6,13 @@
 
 namespace quota {
 
-    double partAlone(double limit, double reserved, double own, double all, std::uint32_t gateways)
+    double isolatedShare(double limit, double reserved, double own, double all, std::uint32_t gateways)
     {
         if (gateways <= 1)
             return limit;
         auto shared = std::max(0.0, limit - reserved);
-        auto byUse = std::min(shared, all > 0 ? shared * own / all : own / busyPart);
-        return partOfUse * byUse + (1 - partOfUse) * limit / gateways;
+        auto byUse = std::min(shared, all > 0 ? shared * own / all : own / busyFraction);
+        return usageWeight * byUse + (1 - usageWeight) * limit / gateways;
     }
 
 } // namespace quota
@@ -21,9 +21,9 @@
     : m_rule(rule)
     , m_settings(settings)
     , m_filledAt(now)
-    , m_promisedAt(now)
+    , m_retryDemandAt(now)
 {
-    m_level = std::min(depth(), settings.slack * startPart);
+    m_level = std::min(depth(), settings.slack * initialFillFraction);
 }
 
 double AccountQuota::tolerance() const
@@ -32,7 +32,7 @@
     return m_settings.excess * inWindow + m_settings.slack;
 }
 
-double AccountQuota::depth() const { return m_rule.burst + depthPart * tolerance(); }
+double AccountQuota::depth() const { return m_rule.burst + depthFraction * tolerance(); }
 
 void AccountQuota::setRule(const QuotaRule& rule)
 {
@@ -42,17 +42,17 @@
 }
 
 /// What this gateway may use a second without hearing of the others.
-double AccountQuota::part(Instant now) const
+double AccountQuota::share(Instant now) const
 {
-    auto own = m_own.perSecond(now);
-    return quota::partAlone(m_rule.perSecond, m_reservedPerSecond, own, m_isBusy ? own + m_othersPerSecond : 0, m_gateways);
+    auto own = m_ownRate.perSecond(now);
+    return quota::isolatedShare(m_rule.perSecond, m_reservedPerSecond, own, m_isBusy ? own + m_othersPerSecond : 0, m_gateways);
 }
 
 AccountQuota::Allowance AccountQuota::allowance(Instant now) const
 {
     auto limit = m_rule.perSecond;
-    auto spare = sparePart * tolerance() / toSeconds(m_settings.window);
-    auto perSecond = isAlone(now) ? m_partAlone.value_or(part(now)) : limit - std::max(0.0, m_reservedPerSecond - spare);
+    auto spare = unreservedFraction * tolerance() / toSeconds(m_settings.window);
+    auto perSecond = isIsolated(now) ? m_isolatedShare.value_or(share(now)) : limit - std::max(0.0, m_reservedPerSecond - spare);
     return { perSecond, depth() * perSecond / limit };
 }
 
@@ -61,24 +61,24 @@
 {
     if (!isLimited())
         return;
-    if (isAlone(now))
-        becomeAlone(now);
+    if (isIsolated(now))
+        enterIsolation(now);
     else
-        m_partAlone.reset();
+        m_isolatedShare.reset();
     auto allowed = allowance(now);
     auto elapsed = toSeconds(std::max(Duration::zero(), now - m_filledAt));
-    auto others = !isAlone(now) && m_isBusy ? m_othersPerSecond : 0;
+    auto others = !isIsolated(now) && m_isBusy ? m_othersPerSecond : 0;
     m_level = std::min(allowed.depth, m_level + (allowed.perSecond - others) * elapsed);
-    auto alone = part(now);
-    m_withinPart = std::min(depth() * alone / m_rule.perSecond, m_withinPart + alone * elapsed);
+    auto ownShare = share(now);
+    m_shareLevel = std::min(depth() * ownShare / m_rule.perSecond, m_shareLevel + ownShare * elapsed);
     m_filledAt = std::max(m_filledAt, now);
 }
 
 /// The part stays as it is from then on: by its own use it would grow, and with it what all use together.
-void AccountQuota::becomeAlone(Instant now)
+void AccountQuota::enterIsolation(Instant now)
 {
-    if (!m_partAlone)
-        m_partAlone = part(now);
+    if (!m_isolatedShare)
+        m_isolatedShare = share(now);
 }
 
 AccountQuota::Verdict AccountQuota::admit(double amount, Instant now)
@@ -87,49 +87,49 @@
         fill(now);
         // A request may be larger than the bucket, or than a gateway's part of it: it goes when that is full, and the next ones wait for
         // it.
-        auto needed = isAlone(now) ? 0 : std::min(amount, allowance(now).depth);
+        auto needed = isIsolated(now) ? 0 : std::min(amount, allowance(now).depth);
         if (m_level < needed || m_level <= 0)
-            return { false, noteRefusal(amount, now) };
-        noteUse(amount, now);
+            return { false, recordRefusal(amount, now) };
+        recordUsage(amount, now);
     }
     ++m_admitted;
     return {};
 }
 
-void AccountQuota::noteUse(double amount, Instant now)
+void AccountQuota::recordUsage(double amount, Instant now)
 {
     m_level -= amount;
-    m_withinPart -= amount;
+    m_shareLevel -= amount;
     m_unreported += amount;
-    m_own.add(amount, now);
-    m_isPressing = m_withinPart < -mostUnheardPart * tolerance() / m_gateways;
-    bool isTold = now - m_toldAt <= totalsLate;
-    if (m_isPressing && !isTold && !m_askedAt)
-        m_askedAt = now;
+    m_ownRate.add(amount, now);
+    m_exceedsShare = m_shareLevel < -maxOverdraftFraction * tolerance() / m_gateways;
+    bool isTold = now - m_lastTotalAt <= totalTimeout;
+    if (m_exceedsShare && !isTold && !m_requestedAt)
+        m_requestedAt = now;
 }
 
-Duration AccountQuota::noteRefusal(double amount, Instant now)
+Duration AccountQuota::recordRefusal(double amount, Instant now)
 {
     ++m_refused;
-    auto own = m_own.perSecond(now);
-    auto ownPart = std::clamp(own / std::max(1.0, own + m_othersPerSecond), 1.0 / m_gateways, 1.0);
+    auto own = m_ownRate.perSecond(now);
+    auto usageFraction = std::clamp(own / std::max(1.0, own + m_othersPerSecond), 1.0 / m_gateways, 1.0);
     auto perSecond = allowance(now).perSecond;
-    m_promised = std::max(0.0, m_promised - perSecond * ownPart * toSeconds(now - m_promisedAt));
-    m_promisedAt = now;
+    m_retryDemand = std::max(0.0, m_retryDemand - perSecond * usageFraction * toSeconds(now - m_retryDemandAt));
+    m_retryDemandAt = now;
     // The other gateways refuse as many for each one here as their callers are more.
-    auto awaited = std::max(0.0, std::min(amount, depth()) - m_level) + m_promised / ownPart;
-    m_promised += amount;
-    auto after = fromSeconds(awaited / std::max(1.0, perSecond));
-    return m_isNew && m_isHearing ? std::min(after, untilTold) : after;
+    auto deficit = std::max(0.0, std::min(amount, depth()) - m_level) + m_retryDemand / usageFraction;
+    m_retryDemand += amount;
+    auto delay = fromSeconds(deficit / std::max(1.0, perSecond));
+    return m_isNew && m_hasContact ? std::min(delay, firstTotalDelay) : delay;
 }
 
-void AccountQuota::giveBack(double amount, Instant now)
+void AccountQuota::refund(double amount, Instant now)
 {
     if (!isLimited())
         return;
     fill(now);
     m_level = std::min(depth(), m_level + amount);
-    m_withinPart += amount;
+    m_shareLevel += amount;
     m_unreported -= amount;
 }
 
@@ -137,57 +137,57 @@
 {
     fill(now);
     // What the others were taken to use since the last telling has left the bucket already, but while this gateway was alone.
-    auto forecast = m_isBusy ? m_othersPerSecond * toSeconds(std::min(now - m_toldAt, totalsLate)) : 0;
-    m_level += forecast - total.othersUse;
+    auto forecast = m_isBusy ? m_othersPerSecond * toSeconds(std::min(now - m_lastTotalAt, totalTimeout)) : 0;
+    m_level += forecast - total.othersUsage;
     m_othersPerSecond = total.othersPerSecond;
     m_reservedPerSecond = total.reservedPerSecond;
     m_isBusy = total.isBusy;
-    m_toldAt = now;
-    m_askedAt.reset();
+    m_lastTotalAt = now;
+    m_requestedAt.reset();
     m_isNew = false;
-    m_partAlone.reset();
+    m_isolatedShare.reset();
     if (!m_isBusy)
         m_othersPerSecond = 0;
 }
 
-void AccountQuota::takeCalm()
+void AccountQuota::markNotBusy()
 {
     m_isNew = false;
     m_isBusy = false;
     m_othersPerSecond = 0;
 }
 
-void AccountQuota::setContact(bool isHearing, std::uint32_t gateways, Instant now)
+void AccountQuota::setContact(bool hasContact, std::uint32_t gateways, Instant now)
 {
-    if (isHearing == m_isHearing && gateways == m_gateways)
+    if (hasContact == m_hasContact && gateways == m_gateways)
         return;
     fill(now);
-    m_isNew = m_isNew || !isHearing;
-    m_isHearing = isHearing;
+    m_isNew = m_isNew || !hasContact;
+    m_hasContact = hasContact;
     m_gateways = std::max(1u, gateways);
     fill(now);
 }
 
 double AccountQuota::takeUnreported() { return std::exchange(m_unreported, 0); }
 
-void AccountQuota::keepUnreported(Instant now)
+void AccountQuota::capUnreported(Instant now)
 {
     setContact(false, m_gateways, now);
     m_unreported = std::min(m_unreported, depth() / m_gateways);
 }
 
-double AccountQuota::reportBeyond() const
+double AccountQuota::reportThreshold() const
 {
     constexpr double partUnreported = 1.0 / 8;
     return depth() * partUnreported / m_gateways;
 }
 
-AccountQuota::Use AccountQuota::use(Instant now)
+AccountQuota::Usage AccountQuota::usage(Instant now)
 {
-    return { m_own.perSecond(now), m_othersPerSecond, isLimited() ? left(now) : 0, isAlone(now) };
+    return { m_ownRate.perSecond(now), m_othersPerSecond, isLimited() ? remaining(now) : 0, isIsolated(now) };
 }
 
-double AccountQuota::left(Instant now)
+double AccountQuota::remaining(Instant now)
 {
     fill(now);
     return m_level;
--- a/src/request/fleet/AccountQuotas.cpp
+++ b/src/request/fleet/AccountQuotas.cpp
@@ -22,18 +22,18 @@
         m_reportAt = now;
 }
 
-void AccountQuotas::heard(PeerId controller, Instant now)
+void AccountQuotas::noteContact(PeerId controller, Instant now)
 {
-    if (!isHearing(now)) {
-        m_knowsBusy = false;
+    if (!hasContact(now)) {
+        m_knowsBusyAccounts = false;
         m_reportAt = std::min(m_reportAt, m_accounts.empty() ? Instant::max() : now);
     }
-    m_heardAt[controller] = now;
+    m_lastHeardAt[controller] = now;
 }
 
-bool AccountQuotas::isHearing(Instant now) const
+bool AccountQuotas::hasContact(Instant now) const
 {
-    return std::any_of(m_heardAt.begin(), m_heardAt.end(), [now](const auto& item) { return now - item.second <= contactLasts; });
+    return std::any_of(m_lastHeardAt.begin(), m_lastHeardAt.end(), [now](const auto& item) { return now - item.second <= contactTimeout; });
 }
 
 AccountQuota* AccountQuotas::find(const std::string& account, Instant now)
@@ -41,7 +41,7 @@
     auto it = m_accounts.find(account);
     if (it == m_accounts.end())
         return nullptr;
-    it->second.setContact(isHearing(now), m_gateways, now);
+    it->second.setContact(hasContact(now), m_gateways, now);
     m_active.insert(account);
     return &it->second;
 }
@@ -52,34 +52,34 @@
     if (!quota)
         return {};
     auto verdict = quota->admit(amount, now);
-    if (quota->unreported() > quota->reportBeyond() || quota->asksForTotal())
-        m_reportAt = std::min(m_reportAt, now + reportSoon);
+    if (quota->unreported() > quota->reportThreshold() || quota->asksForTotal())
+        m_reportAt = std::min(m_reportAt, now + promptReportDelay);
     return verdict;
 }
 
-void AccountQuotas::giveBack(const std::string& account, double amount, Instant now)
+void AccountQuotas::refund(const std::string& account, double amount, Instant now)
 {
     if (auto* quota = find(account, now))
-        quota->giveBack(amount, now);
+        quota->refund(amount, now);
 }
 
 void AccountQuotas::take(PeerId controller, const QuotaTotals& totals, Instant now)
 {
-    heard(controller, now);
+    noteContact(controller, now);
     // Another one's totals hold the same use once more.
-    if (controller != m_teller)
+    if (controller != m_totalsSource)
         return;
-    m_told = totals.gateways;
-    m_toldAt = now;
-    if (totals.isAll) {
-        m_knowsBusy = true;
-        std::set<AccountId> told;
+    m_gatewaysSeen = totals.gateways;
+    m_gatewaysSeenAt = now;
+    if (totals.isComplete) {
+        m_knowsBusyAccounts = true;
+        std::set<AccountId> received;
         for (const auto& total : totals.totals)
-            told.insert(total.account);
+            received.insert(total.account);
         for (auto& [name, quota] : m_accounts) {
             quota.setContact(true, m_gateways, now);
-            if (!told.contains(accountId(name)))
-                quota.takeCalm();
+            if (!received.contains(accountId(name)))
+                quota.markNotBusy();
         }
     }
     for (const auto& total : totals.totals) {
@@ -89,46 +89,47 @@
 }
 
 /// Each gateway has its own order of the controllers, so that each of these tells a like number.
-void AccountQuotas::chooseTeller(Instant now)
+void AccountQuotas::chooseTotalsSource(Instant now)
 {
-    bool isSilent = std::any_of(m_active.begin(), m_active.end(), [&](const auto& name) { return m_accounts.at(name).missesTotals(now); });
-    if (isSilent && m_teller)
-        m_formerTeller = std::exchange(m_teller, std::nullopt);
-    if (m_teller && m_heardAt.contains(*m_teller) && now - m_heardAt.at(*m_teller) <= contactLasts)
+    bool isSilent
+        = std::any_of(m_active.begin(), m_active.end(), [&](const auto& name) { return m_accounts.at(name).isTotalOverdue(now); });
+    if (isSilent && m_totalsSource)
+        m_previousSource = std::exchange(m_totalsSource, std::nullopt);
+    if (m_totalsSource && m_lastHeardAt.contains(*m_totalsSource) && now - m_lastHeardAt.at(*m_totalsSource) <= contactTimeout)
         return;
-    m_teller.reset();
+    m_totalsSource.reset();
     // What the former one told to be busy may not be so by now, and the new one would not say it: a gateway that waits for news of such an
     // account keeps to its part of the limit, and refuses callers that the limit allows.
-    m_knowsBusy = false;
+    m_knowsBusyAccounts = false;
     std::uint64_t lowest = 0;
     auto consider = [&](PeerId controller) {
-        auto place = XXH3_64bits_withSeed(m_gateway.data(), m_gateway.size(), controller.value());
-        if (m_teller && place >= lowest)
+        auto rank = XXH3_64bits_withSeed(m_gateway.data(), m_gateway.size(), controller.value());
+        if (m_totalsSource && rank >= lowest)
             return;
-        m_teller = controller;
-        lowest = place;
+        m_totalsSource = controller;
+        lowest = rank;
     };
-    for (const auto& [controller, at] : m_heardAt) {
-        if (now - at <= contactLasts && controller != m_formerTeller)
+    for (const auto& [controller, at] : m_lastHeardAt) {
+        if (now - at <= contactTimeout && controller != m_previousSource)
             consider(controller);
     }
-    if (!m_teller && m_formerTeller && m_heardAt.contains(*m_formerTeller))
-        m_teller = m_formerTeller;
+    if (!m_totalsSource && m_previousSource && m_lastHeardAt.contains(*m_previousSource))
+        m_totalsSource = m_previousSource;
 }
 
 /// Nobody would hear of it. What was used shortly before somebody does is told then.
-void AccountQuotas::keepUnreported(Instant now)
+void AccountQuotas::capUnreported(Instant now)
 {
     for (auto& [name, quota] : m_accounts)
-        quota.keepUnreported(now);
-    m_reportAt = now + reportEvery;
+        quota.capUnreported(now);
+    m_reportAt = now + reportInterval;
 }
 
 /// For controllers that have just started: they miss those that were counted before and don't come.
-GatewaysSeen AccountQuotas::gatewaysSeen(Instant now) const
+GatewayCounts AccountQuotas::gatewaysSeen(Instant now) const
 {
-    auto seen = now - m_toldAt <= toldLasts ? m_told : GatewaysSeen();
-    if (m_gateways != SharedRetryBudget::gatewaysUnknown)
+    auto seen = now - m_gatewaysSeenAt <= gatewaysSeenLifetime ? m_gatewaysSeen : GatewayCounts();
+    if (m_gateways != SharedRetryBudget::assumedGateways)
         seen.all = std::max(seen.all, m_gateways);
     return seen;
 }
@@ -137,25 +138,25 @@
 {
     if (m_accounts.empty() || m_reportAt > now)
         return std::nullopt;
-    chooseTeller(now);
-    Report report { {}, m_teller, !m_knowsBusy, gatewaysSeen(now) };
-    bool isWhole = now - m_reportedAt >= reportEvery;
-    if (isWhole)
+    chooseTotalsSource(now);
+    Report report { {}, m_totalsSource, !m_knowsBusyAccounts, gatewaysSeen(now) };
+    bool isFullReport = now - m_reportedAt >= reportInterval;
+    if (isFullReport)
         m_reportedAt = now;
-    if (!isHearing(now)) {
-        keepUnreported(now);
+    if (!hasContact(now)) {
+        capUnreported(now);
         return std::nullopt;
     }
     for (const auto& name : m_active) {
         auto& quota = m_accounts.at(name);
         quota.setContact(true, m_gateways, now);
-        bool isDue = isWhole ? quota.unreported() != 0 : quota.unreported() > quota.reportBeyond();
+        bool isDue = isFullReport ? quota.unreported() != 0 : quota.unreported() > quota.reportThreshold();
         if (isDue || quota.asksForTotal())
             report.uses.push_back(
                 { accountId(name), quota.takeUnreported(), quota.rule().perSecond, quota.asksForTotal(), quota.reservedPerSecond() });
     }
     std::erase_if(m_active, [&](const auto& name) { return !m_accounts.at(name).isActive(); });
-    m_reportAt = m_reportedAt + reportEvery;
+    m_reportAt = m_reportedAt + reportInterval;
     return report;
 }
 
--- a/src/request/fleet/CrashExchange.cpp
+++ b/src/request/fleet/CrashExchange.cpp
@@ -4,30 +4,30 @@
 
 namespace wrenhinge {
 
-using Standing = CrashTracker::Standing;
+using Status = CrashTracker::Status;
 
-CrashExchange::Told CrashExchange::take(const CrashReport& report, Instant now)
+CrashExchange::Updates CrashExchange::take(const CrashReport& report, Instant now)
 {
-    Told told;
-    told.controllers = m_tracker.take(report, now);
+    Updates updates;
+    updates.controllers = m_tracker.take(report, now);
     std::set<RequestFingerprint> requests;
-    for (const auto& crash : told.controllers.crashes)
+    for (const auto& crash : updates.controllers.crashes)
         requests.insert(crash.request);
     for (const auto& request : requests) {
-        auto standing = m_tracker.standing(request, now);
+        auto statusOf = m_tracker.statusOf(request, now);
         // All its crashes: gateways know only those that they saw themselves, and pass over what they know.
-        if (standing >= Standing::Watched)
-            m_tracker.describe(request, told.gateways, now);
-        if (standing == Standing::Refused)
-            told.refused.push_back(request);
+        if (statusOf >= Status::Watched)
+            m_tracker.describe(request, updates.gateways, now);
+        if (statusOf == Status::Refused)
+            updates.refused.push_back(request);
     }
-    told.gateways.served = told.controllers.served;
-    return told;
+    updates.gateways.served = updates.controllers.served;
+    return updates;
 }
 
-CrashReport CrashExchange::forPeer(Role role, Instant now) const
+CrashReport CrashExchange::snapshotFor(Role role, Instant now) const
 {
-    return m_tracker.describeAll(role == Role::Controller ? Standing::Unknown : Standing::Watched, now);
+    return m_tracker.describeAll(role == Role::Controller ? Status::Unknown : Status::Watched, now);
 }
 
 } // namespace wrenhinge
--- a/src/request/fleet/CrashExchange.h
+++ b/src/request/fleet/CrashExchange.h
@@ -14,16 +14,16 @@
 
 class CrashExchange {
 public:
-    struct Told {
+    struct Updates {
         CrashReport controllers;
         CrashReport gateways;
         std::vector<RequestFingerprint> refused; ///< Requests that are refused, and that something new was said of.
     };
 
     /// \returns what to pass on to all but the sender.
-    Told take(const CrashReport&, Instant now);
+    Updates take(const CrashReport&, Instant now);
     /// What a process that has just linked should hear.
-    [[nodiscard]] CrashReport forPeer(Role, Instant now) const;
+    [[nodiscard]] CrashReport snapshotFor(Role, Instant now) const;
     /// Drops what the announcements have refuted since.
     void check(const ReplicaRegistry& registry, Instant now) { m_tracker.dropRefuted(registry, now); }
     [[nodiscard]] const CrashTracker& tracker() const { return m_tracker; }
--- a/src/request/fleet/CrashTracker.cpp
+++ b/src/request/fleet/CrashTracker.cpp
@@ -9,9 +9,9 @@
     /// Crashes of one request that are kept. Many more than it takes to refuse it come only of a request that many callers send, while
     /// replicas are reset all the time; further ones then are passed over, rather than old ones forgotten and taken for new when they are
     /// told again.
-    constexpr std::size_t mostCrashes = 64;
+    constexpr std::size_t maxCrashes = 64;
     /// How many are forgotten at once when there are too many requests, so that the oldest need not be looked for at each new one.
-    constexpr std::size_t forgottenAtOnce = CrashTracker::mostRequests / 8;
+    constexpr std::size_t evictionBatch = CrashTracker::maxRequests / 8;
 
 } // namespace
 
@@ -32,15 +32,15 @@
     auto& request = m_requests[fingerprint];
     bool isKnown
         = std::any_of(request.crashes.begin(), request.crashes.end(), [&crash](const Crash& other) { return other.run == crash.run; });
-    if (isKnown || request.crashes.size() >= mostCrashes)
+    if (isKnown || request.crashes.size() >= maxCrashes)
         return false;
     crash.isCleared = crash.at <= request.servedAt;
     bool isNews = !crash.isCleared;
-    auto after = std::upper_bound(
+    auto position = std::upper_bound(
         request.crashes.begin(), request.crashes.end(), crash.at, [](Instant at, const Crash& other) { return at < other.at; });
-    request.crashes.insert(after, std::move(crash));
-    if (m_requests.size() > mostRequests)
-        forgetOldest();
+    request.crashes.insert(position, std::move(crash));
+    if (m_requests.size() > maxRequests)
+        evictOldest();
     return isNews;
 }
 
@@ -60,87 +60,87 @@
 
 CrashReport CrashTracker::take(const CrashReport& report, Instant now)
 {
-    CrashReport news;
+    CrashReport added;
     for (const auto& crash : report.crashes) {
         auto at = now - crash.age;
-        if (crash.age <= rememberFor + longestRefusal && add(crash.request, { crash.run(), at - crash.ranFor, at }))
-            news.crashes.push_back(crash);
+        if (crash.age <= retentionPeriod + longestRefusal && add(crash.request, { crash.run(), at - crash.ranFor, at }))
+            added.crashes.push_back(crash);
     }
     for (const auto& served : report.served) {
         if (clear(served.request, now - served.age))
-            news.served.push_back(served);
+            added.served.push_back(served);
     }
-    return news;
+    return added;
 }
 
 void CrashTracker::dropRefuted(const ReplicaRegistry& registry, Instant now)
 {
     auto isRefuted = [&registry](const Crash& crash) {
         const auto* entry = registry.find(crash.run);
-        return entry && entry->heardAt - crash.at > heardAfterCrash;
+        return entry && entry->lastHeardAt - crash.at > refutationDelay;
     };
     for (auto& [fingerprint, request] : m_requests) {
         for (auto& crash : request.crashes)
             crash.isCleared = crash.isCleared || isRefuted(crash);
     }
-    forgetOld(now);
+    removeExpired(now);
 }
 
-void CrashTracker::forgetOld(Instant now)
+void CrashTracker::removeExpired(Instant now)
 {
     for (auto& [fingerprint, request] : m_requests)
-        std::erase_if(request.crashes, [now](const Crash& crash) { return crash.isCleared && now - crash.at > rememberFor; });
-    std::erase_if(m_requests, [now](const auto& item) { return now - lastOf(item.second) > rememberFor; });
+        std::erase_if(request.crashes, [now](const Crash& crash) { return crash.isCleared && now - crash.at > retentionPeriod; });
+    std::erase_if(m_requests, [now](const auto& item) { return now - lastActivity(item.second) > retentionPeriod; });
 }
 
-Instant CrashTracker::lastOf(const Request& request)
+Instant CrashTracker::lastActivity(const Request& request)
 {
-    auto last = std::max(request.servedAt, judge(request).refusedUntil);
+    auto last = std::max(request.servedAt, evaluate(request).refusedUntil);
     return request.crashes.empty() ? last : std::max(last, request.crashes.back().at);
 }
 
 /// A request that was refused goes by the end of its refusal: those that a few engines leave with one crash each must not displace it.
-void CrashTracker::forgetOldest()
+void CrashTracker::evictOldest()
 {
     std::vector<std::pair<Instant, RequestFingerprint>> byAge;
     for (const auto& [fingerprint, request] : m_requests)
-        byAge.emplace_back(lastOf(request), fingerprint);
-    std::nth_element(byAge.begin(), byAge.begin() + forgottenAtOnce, byAge.end());
-    for (std::size_t i = 0; i < forgottenAtOnce; ++i)
+        byAge.emplace_back(lastActivity(request), fingerprint);
+    std::nth_element(byAge.begin(), byAge.begin() + evictionBatch, byAge.end());
+    for (std::size_t i = 0; i < evictionBatch; ++i)
         m_requests.erase(byAge[i].second);
 }
 
 // --- What follows from it ---------------------------------------------------------------------------------------
 
-CrashTracker::Judgement CrashTracker::judge(const Request& request)
+CrashTracker::Evaluation CrashTracker::evaluate(const Request& request)
 {
-    Judgement judgement;
+    Evaluation evaluation;
     Instant lastCounted;
     auto refusal = firstRefusal;
     for (const auto& crash : request.crashes) {
         // It was in progress when the request was refused, or when another replica ended under it.
-        bool isAside
-            = crash.isCleared || crash.at < judgement.refusedUntil || (judgement.counted && crash.began + wayOfMessage < lastCounted);
-        if (isAside)
+        bool isIgnored = crash.isCleared || crash.at < evaluation.refusedUntil
+            || (evaluation.counted && crash.began + messageDelayTolerance < lastCounted);
+        if (isIgnored)
             continue;
         lastCounted = crash.at;
-        if (++judgement.counted < crashesUntilRefused)
+        if (++evaluation.counted < crashesUntilRefused)
             continue;
-        judgement.refusedUntil = crash.at + refusal;
+        evaluation.refusedUntil = crash.at + refusal;
         refusal = std::min(2 * refusal, longestRefusal);
     }
-    return judgement;
+    return evaluation;
 }
 
-CrashTracker::Standing CrashTracker::standing(RequestFingerprint fingerprint, Instant now) const
+CrashTracker::Status CrashTracker::statusOf(RequestFingerprint fingerprint, Instant now) const
 {
     auto it = m_requests.find(fingerprint);
     if (it == m_requests.end())
-        return Standing::Unknown;
-    auto judgement = judge(it->second);
-    if (now < judgement.refusedUntil)
-        return Standing::Refused;
-    return judgement.counted >= crashesUntilWatched ? Standing::Watched : Standing::Unknown;
+        return Status::Unknown;
+    auto evaluation = evaluate(it->second);
+    if (now < evaluation.refusedUntil)
+        return Status::Refused;
+    return evaluation.counted >= crashesUntilWatched ? Status::Watched : Status::Unknown;
 }
 
 std::string CrashTracker::text(RequestFingerprint fingerprint) const
@@ -164,11 +164,11 @@
     }
 }
 
-CrashReport CrashTracker::describeAll(Standing atLeast, Instant now) const
+CrashReport CrashTracker::describeAll(Status atLeast, Instant now) const
 {
     CrashReport report;
     for (const auto& [fingerprint, request] : m_requests) {
-        if (standing(fingerprint, now) >= atLeast)
+        if (statusOf(fingerprint, now) >= atLeast)
             describe(fingerprint, report, now);
     }
     return report;
--- a/src/request/fleet/CrashTracker.h
+++ b/src/request/fleet/CrashTracker.h
@@ -30,7 +30,7 @@
 
 class CrashTracker {
 public:
-    enum class Standing : std::uint8_t {
+    enum class Status : std::uint8_t {
         Unknown,
         Watched, ///< One more crash and it is refused, or it was refused before: all gateways should know, as a whole answer at any clears
                  ///< it.
@@ -44,18 +44,18 @@
     static constexpr Duration firstRefusal = 2min;
     static constexpr Duration longestRefusal = 1h;
     /// What is known of a request is dropped when nothing has come for this long after its last crash or its refusal.
-    static constexpr Duration rememberFor = 10min;
+    static constexpr Duration retentionPeriod = 10min;
     /// A replica that was heard of so long after a crash did not crash. Heartbeats may take a run to be fresher than it is by half of
     /// `ReplicaRegistry::freshFor`, and an announcement may have been on its way.
-    static constexpr Duration heardAfterCrash = ReplicaRegistry::freshFor;
+    static constexpr Duration refutationDelay = ReplicaRegistry::freshFor;
     /// Crashes and starts that two processes saw are compared by ages that a message carried: less than its way is no order.
-    static constexpr Duration wayOfMessage = 50ms;
+    static constexpr Duration messageDelayTolerance = 50ms;
     /// Requests that are known at most, some 100 bytes each. One engine that crashes leaves some tens; beyond this the oldest are
     /// forgotten.
-    static constexpr std::size_t mostRequests = 8192;
+    static constexpr std::size_t maxRequests = 8192;
 
     /// Why such a request is refused, in a caller's words.
-    static constexpr const char* whyRefused = "replicas that ran this very request have crashed, so it is not run again";
+    static constexpr const char* refusalReason = "replicas that ran this very request have crashed, so it is not run again";
 
     /// The replica has crashed under the request, as this process saw. \returns what is news to the controllers.
     CrashReport noteCrash(RequestFingerprint, const ReplicaRun&, Duration ranFor, Instant now);
@@ -65,15 +65,15 @@
     CrashReport take(const CrashReport&, Instant now);
     /// Clears the crashes of replicas that were heard of since, and forgets what is old.
     void dropRefuted(const ReplicaRegistry&, Instant now);
-    void forgetOld(Instant now);
+    void removeExpired(Instant now);
 
-    [[nodiscard]] Standing standing(RequestFingerprint, Instant now) const;
+    [[nodiscard]] Status statusOf(RequestFingerprint, Instant now) const;
     /// The request and the replicas that have crashed under it, for a log.
     [[nodiscard]] std::string text(RequestFingerprint) const;
     /// All that another process needs to judge the request alike; added to `report`.
     void describe(RequestFingerprint, CrashReport& report, Instant now) const;
     /// The same of all requests whose standing is at least this.
-    [[nodiscard]] CrashReport describeAll(Standing atLeast, Instant now) const;
+    [[nodiscard]] CrashReport describeAll(Status atLeast, Instant now) const;
     [[nodiscard]] std::size_t size() const { return m_requests.size(); }
 
 private:
@@ -88,16 +88,16 @@
         Instant servedAt; ///< The last whole answer; the beginning of time if there was none.
     };
     /// What follows from a list of crashes.
-    struct Judgement {
+    struct Evaluation {
         std::size_t counted = 0;
         Instant refusedUntil;
     };
-    [[nodiscard]] static Judgement judge(const Request&);
+    [[nodiscard]] static Evaluation evaluate(const Request&);
     /// When something came of it last, or its refusal ends.
-    [[nodiscard]] static Instant lastOf(const Request&);
+    [[nodiscard]] static Instant lastActivity(const Request&);
     bool add(RequestFingerprint, Crash);
     bool clear(RequestFingerprint, Instant servedAt);
-    void forgetOldest();
+    void evictOldest();
 
     std::unordered_map<RequestFingerprint, Request> m_requests;
 };
--- a/src/request/fleet/InheritedReserve.cpp
+++ b/src/request/fleet/InheritedReserve.cpp
@@ -6,12 +6,12 @@
 
 void InheritedReserve::take(const QuotaReport& report, Instant now)
 {
-    if (!m_since)
-        m_since = now;
-    if (now - *m_since > learnFor)
+    if (!m_firstReportAt)
+        m_firstReportAt = now;
+    if (now - *m_firstReportAt > learningPeriod)
         return;
-    m_told.all = std::max(m_told.all, report.told.all);
-    m_told.unheard = std::max(m_told.unheard, report.told.unheard);
+    m_gatewaysSeen.all = std::max(m_gatewaysSeen.all, report.knownGateways.all);
+    m_gatewaysSeen.notReporting = std::max(m_gatewaysSeen.notReporting, report.knownGateways.notReporting);
     for (const auto& use : report.uses) {
         auto& perSecond = m_perSecond[use.account];
         perSecond = std::max(perSecond, use.reservedPerSecond);
@@ -20,14 +20,14 @@
 
 double InheritedReserve::perSecond(AccountId account, double limit, std::uint32_t gateways, Instant now) const
 {
-    if (m_told.all <= gateways || now - *m_since > m_keptFor)
+    if (m_gatewaysSeen.all <= gateways || now - *m_firstReportAt > m_reservationPeriod)
         return 0;
-    auto missing = m_told.all - gateways;
-    auto alike = now - *m_since > missingAfter ? limit * missing / m_told.all : 0;
+    auto missing = m_gatewaysSeen.all - gateways;
+    auto evenShare = now - *m_firstReportAt > missingAfter ? limit * missing / m_gatewaysSeen.all : 0;
     auto it = m_perSecond.find(account);
-    if (it == m_perSecond.end() || m_told.unheard == 0)
-        return alike;
-    return std::max(alike, it->second * std::min(missing, m_told.unheard) / m_told.unheard);
+    if (it == m_perSecond.end() || m_gatewaysSeen.notReporting == 0)
+        return evenShare;
+    return std::max(evenShare, it->second * std::min(missing, m_gatewaysSeen.notReporting) / m_gatewaysSeen.notReporting);
 }
 
 } // namespace wrenhinge
--- a/src/request/fleet/InheritedReserve.h
+++ b/src/request/fleet/InheritedReserve.h
@@ -16,9 +16,9 @@
 
 class InheritedReserve {
 public:
-    /// \param keptFor for how long a gateway that is not heard has its part set aside.
-    explicit InheritedReserve(Duration keptFor)
-        : m_keptFor(keptFor)
+    /// \param reservationPeriod for how long a gateway that is not heard has its part set aside.
+    explicit InheritedReserve(Duration reservationPeriod)
+        : m_reservationPeriod(reservationPeriod)
     {
     }
 
@@ -29,13 +29,13 @@
 
 private:
     /// Gateways find a new controller, and report, within this time. What they report later they may have been told by it.
-    static constexpr Duration learnFor = 3s;
+    static constexpr Duration learningPeriod = 3s;
     /// Gateways that were counted before and have not come by then are not heard, though nobody may have noticed before the start.
     static constexpr Duration missingAfter = 2s;
 
-    Duration m_keptFor;
-    std::optional<Instant> m_since; ///< The first report.
-    GatewaysSeen m_told;
+    Duration m_reservationPeriod;
+    std::optional<Instant> m_firstReportAt; ///< The first report.
+    GatewayCounts m_gatewaysSeen;
     std::unordered_map<AccountId, double> m_perSecond;
 };
 
--- /dev/null
+++ b/src/request/fleet/QuotaAggregator.cpp
@@ -0,0 +1,186 @@
+#include "request/fleet/QuotaAggregator.h"
+
+#include <algorithm>
+
+namespace wrenhinge {
+
+void QuotaAggregator::connected(PeerId gateway, const std::string& name)
+{
+    m_gateways[gateway].name = name;
+    m_lostGateways.erase(name);
+}
+
+void QuotaAggregator::disconnected(PeerId gateway, Instant now)
+{
+    auto it = m_gateways.find(gateway);
+    if (it == m_gateways.end())
+        return;
+    auto former = std::move(it->second);
+    m_gateways.erase(it);
+    // A newer run may have linked before the end of the former one was seen.
+    bool isReplaced = std::any_of(m_gateways.begin(), m_gateways.end(), [&](const auto& item) { return item.second.name == former.name; });
+    if (auto lost = m_lostGateways.find(former.name); lost != m_lostGateways.end())
+        lost->second.isConnected = false;
+    else if (!isReplaced)
+        markLost(former, false, now);
+}
+
+void QuotaAggregator::markLost(const Gateway& gateway, bool isConnected, Instant now)
+{
+    auto n = gatewayCount() + (isConnected ? 0 : 1);
+    auto snapshotsAgo = std::min<std::size_t>((now - gateway.lastHeardAt) / snapshotInterval, Account().snapshots.size() - 1);
+    LostGateway lost { now, isConnected, {} };
+    for (const auto& [id, account] : m_accounts) {
+        auto usage = gateway.usages.find(id);
+        auto own = usage != gateway.usages.end() ? usage->second.rate.perSecond(gateway.lastHeardAt) : 0;
+        auto [rate, reserved] = account.snapshots[snapshotsAgo];
+        auto all = std::max(own, rate);
+        // By next to no use, the first request after a pause would decide who has the whole limit.
+        bool isIdle = all < idleFraction * account.limit;
+        lost.reservations[id] = isIdle ? account.limit / n : quota::isolatedShare(account.limit, reserved, own, all, n);
+    }
+    m_lostGateways[gateway.name] = std::move(lost);
+}
+
+std::uint32_t QuotaAggregator::gatewayCount() const
+{
+    auto unconnected
+        = std::count_if(m_lostGateways.begin(), m_lostGateways.end(), [](const auto& item) { return !item.second.isConnected; });
+    return static_cast<std::uint32_t>(m_gateways.size()) + static_cast<std::uint32_t>(unconnected);
+}
+
+GatewayCounts QuotaAggregator::gatewaysSeen() const { return { gatewayCount(), static_cast<std::uint32_t>(m_lostGateways.size()) }; }
+
+void QuotaAggregator::take(PeerId from, const QuotaReport& report, Instant now)
+{
+    auto it = m_gateways.find(from);
+    if (it == m_gateways.end())
+        return;
+    auto& gateway = it->second;
+    gateway.lastHeardAt = now;
+    if (!m_startedAt)
+        m_startedAt = now;
+    gateway.wantsTotals = report.wantsTotals;
+    gateway.asksForAll = report.wantsTotals && report.asksForAll;
+    m_inherited.take(report, now);
+    m_lostGateways.erase(gateway.name);
+    takeSnapshot(now);
+    for (const auto& use : report.uses) {
+        auto& account = m_accounts[use.account];
+        account.limit = use.perSecond;
+        account.total += use.amount;
+        account.recent.add(use.amount, now);
+        account.rate.add(use.amount, now);
+        auto& usage = gateway.usages[use.account];
+        if (std::exchange(usage.snapshot, m_snapshotNumber) != m_snapshotNumber)
+            usage.usedAtSnapshot = usage.used;
+        usage.used += use.amount;
+        if (use.asksForTotal) {
+            usage.requestedAt = now;
+            gateway.requested.insert(use.account);
+        }
+        usage.rate.add(use.amount, now);
+    }
+}
+
+void QuotaAggregator::takeSnapshot(Instant now)
+{
+    if (now - m_snapshotAt < snapshotInterval)
+        return;
+    m_snapshotAt = now;
+    ++m_snapshotNumber;
+    for (auto& [id, account] : m_accounts) {
+        account.totalAtSnapshot = account.total;
+        std::shift_right(account.snapshots.begin(), account.snapshots.end(), 1);
+        account.snapshots.front() = { account.rate.perSecond(now), reserved(id, account, now) };
+    }
+}
+
+/// Links may be mute without having ended.
+void QuotaAggregator::detectSilentGateways(Instant now)
+{
+    for (const auto& [id, gateway] : m_gateways) {
+        bool isSilent = gateway.lastHeardAt != Instant() && now - gateway.lastHeardAt > silentAfter;
+        if (isSilent && !m_lostGateways.contains(gateway.name))
+            markLost(gateway, true, now);
+    }
+    std::erase_if(m_lostGateways, [now](const auto& item) { return now - item.second.at > reservationPeriod; });
+}
+
+double QuotaAggregator::reserved(AccountId id, const Account& account, Instant now) const
+{
+    double sum = m_inherited.perSecond(id, account.limit, gatewayCount(), now);
+    for (const auto& [name, lost] : m_lostGateways) {
+        // Nobody used an account that was not known then.
+        auto it = lost.reservations.find(id);
+        sum += it != lost.reservations.end() ? it->second : account.limit / gatewayCount();
+    }
+    return std::min(sum, account.limit);
+}
+
+std::vector<std::pair<PeerId, QuotaTotals>> QuotaAggregator::tell(Instant now)
+{
+    takeSnapshot(now);
+    detectSilentGateways(now);
+    updateBusyState(now);
+    if (!knowsBusyAccounts(now))
+        return {};
+    std::vector<std::pair<PeerId, QuotaTotals>> all;
+    for (auto& [peer, gateway] : m_gateways) {
+        if (!gateway.wantsTotals)
+            continue;
+        if (auto totals = totalsFor(gateway, now); totals.isComplete || !totals.totals.empty())
+            all.emplace_back(peer, std::move(totals));
+    }
+    return all;
+}
+
+void QuotaAggregator::updateBusyState(Instant now)
+{
+    m_broadcastAccounts.clear();
+    for (auto& [id, account] : m_accounts) {
+        account.reserved = reserved(id, account, now);
+        if (account.limit > 0 && account.recent.perSecond(now) + account.reserved > quota::busyFraction * account.limit)
+            account.busyUntil = now + busyHoldTime;
+        using BusyState = Account::BusyState;
+        auto notBusy = account.busyState == BusyState::Busy ? BusyState::NoLongerBusy : BusyState::NotBusy;
+        account.busyState = account.busyUntil > now ? BusyState::Busy : notBusy;
+        if (account.busyState != BusyState::NotBusy)
+            m_broadcastAccounts.push_back(id);
+    }
+}
+
+/// A controller that has just started does not know which accounts are busy, and says nothing. Gateways that it told that none is would
+/// forget what the others use, and those that are cut off then take too large a part.
+bool QuotaAggregator::knowsBusyAccounts(Instant now) const { return m_startedAt && now - *m_startedAt >= warmUpPeriod; }
+
+QuotaTotals QuotaAggregator::totalsFor(Gateway& gateway, Instant now)
+{
+    QuotaTotals totals { {}, std::exchange(gateway.asksForAll, false), gatewaysSeen() };
+    std::erase_if(gateway.requested, [&](AccountId id) { return now - gateway.usages[id].requestedAt > busyHoldTime; });
+    for (auto id : m_broadcastAccounts)
+        totals.totals.push_back(totalFor(id, m_accounts[id], gateway.usages[id], now));
+    for (auto id : gateway.requested) {
+        if (const auto& account = m_accounts[id]; account.busyState == Account::BusyState::NotBusy)
+            totals.totals.push_back(totalFor(id, account, gateway.usages[id], now));
+    }
+    return totals;
+}
+
+AccountTotal QuotaAggregator::totalFor(AccountId id, const Account& account, Usage& usage, Instant now)
+{
+    bool wasSentRecently = now - usage.sentAt <= 3 * quota::broadcastInterval;
+    // Soon after the start the rates show little of what goes on; by less of the others' use, gateways that are cut off then would take
+    // their own parts for larger than they are.
+    auto convergence = account.rate.convergenceAfter(now - *m_startedAt);
+    auto ownSinceSnapshot = usage.snapshot == m_snapshotNumber ? usage.used - usage.usedAtSnapshot : 0;
+    auto others = wasSentRecently ? (account.total - usage.sentTotal) - (usage.used - usage.sentUsed)
+                                  : (account.total - account.totalAtSnapshot) - ownSinceSnapshot;
+    usage.sentTotal = account.total;
+    usage.sentUsed = usage.used;
+    usage.sentAt = now;
+    auto othersPerSecond = std::max(0.0, account.rate.perSecond(now) - usage.rate.perSecond(now)) / convergence;
+    return { id, others, othersPerSecond, account.reserved, account.busyState == Account::BusyState::Busy };
+}
+
+} // namespace wrenhinge
--- a/src/request/fleet/RegistryFollower.cpp
+++ b/src/request/fleet/RegistryFollower.cpp
@@ -2,42 +2,42 @@
 
 namespace wrenhinge {
 
-void RegistryFollower::told(PeerId id, std::uint64_t digest, std::uint32_t known)
+void RegistryFollower::digestReceived(PeerId id, std::uint64_t digest, std::uint32_t known)
 {
     auto& peer = m_peers[id];
     peer.digest = digest;
     peer.known = known;
 }
 
-void RegistryFollower::listed(PeerId id)
+void RegistryFollower::listReceived(PeerId id)
 {
-    if (m_asked == id)
-        m_asked.reset();
+    if (m_pendingPeer == id)
+        m_pendingPeer.reset();
 }
 
-void RegistryFollower::gone(PeerId id)
+void RegistryFollower::disconnected(PeerId id)
 {
     m_peers.erase(id);
-    listed(id);
+    listReceived(id);
 }
 
-std::optional<PeerId> RegistryFollower::nextToAsk(std::uint64_t digest, Instant now)
+std::optional<PeerId> RegistryFollower::nextPeerToQuery(std::uint64_t digest, Instant now)
 {
-    if (m_asked && now - m_askedAt < answerLimit)
+    if (m_pendingPeer && now - m_queriedAt < responseTimeout)
         return std::nullopt;
-    m_asked.reset();
+    m_pendingPeer.reset();
     for (auto& [id, peer] : m_peers) {
         // One that has just started knows nothing, and says so.
-        bool hasNews = peer.digest && peer.digest != digest && peer.known;
-        if (!hasNews || (peer.askedAt && now - *peer.askedAt < askAgainAfter))
+        bool hasOtherList = peer.digest && peer.digest != digest && peer.known;
+        if (!hasOtherList || (peer.queriedAt && now - *peer.queriedAt < retryInterval))
             continue;
-        peer.askedAt = m_askedAt = now;
-        m_asked = id;
+        peer.queriedAt = m_queriedAt = now;
+        m_pendingPeer = id;
         return id;
     }
     return std::nullopt;
 }
 
-Instant RegistryFollower::nextWake() const { return m_asked ? m_askedAt + answerLimit : Instant::max(); }
+Instant RegistryFollower::nextWake() const { return m_pendingPeer ? m_queriedAt + responseTimeout : Instant::max(); }
 
 } // namespace wrenhinge
--- a/src/request/fleet/RegistryFollower.h
+++ b/src/request/fleet/RegistryFollower.h
@@ -23,17 +23,17 @@
 public:
     /// A list of 10,000 replicas is a megabyte and takes a second over 10 Mbit/s, but its answer begins at once; one that has not come
     /// within this is taken for lost, and another process is asked.
-    static constexpr Duration answerLimit = 400ms;
+    static constexpr Duration responseTimeout = 400ms;
     /// A process whose list still differs after it was told is asked again after this: as often as all was told before.
-    static constexpr Duration askAgainAfter = 1s;
+    static constexpr Duration retryInterval = 1s;
 
     /// \param digest of all that the peer knows; zero: it does not say. \param known how many replicas that are.
-    void told(PeerId peer, std::uint64_t digest, std::uint32_t known);
+    void digestReceived(PeerId peer, std::uint64_t digest, std::uint32_t known);
     /// The peer has sent its list.
-    void listed(PeerId peer);
-    void gone(PeerId peer);
+    void listReceived(PeerId peer);
+    void disconnected(PeerId peer);
     /// Whom to ask now, if anybody. \param digest of what is known here.
-    std::optional<PeerId> nextToAsk(std::uint64_t digest, Instant now);
+    std::optional<PeerId> nextPeerToQuery(std::uint64_t digest, Instant now);
     /// When an answer is overdue and another peer may be asked.
     [[nodiscard]] Instant nextWake() const;
 
@@ -41,12 +41,12 @@
     struct Peer {
         std::uint64_t digest = 0;
         std::uint32_t known = 0;
-        std::optional<Instant> askedAt;
+        std::optional<Instant> queriedAt;
     };
 
     std::map<PeerId, Peer> m_peers;
-    std::optional<PeerId> m_asked; ///< Whose answer is waited for.
-    Instant m_askedAt;
+    std::optional<PeerId> m_pendingPeer; ///< Whose answer is waited for.
+    Instant m_queriedAt;
 };
 
 } // namespace wrenhinge
--- a/src/request/fleet/ReplicaRegistry.cpp
+++ b/src/request/fleet/ReplicaRegistry.cpp
@@ -8,19 +8,19 @@
 namespace {
 
     /// Whether a change of these fields is worth telling everybody at once.
-    bool saysTheSame(const Announcement& a, const Announcement& b)
+    bool hasSameState(const Announcement& a, const Announcement& b)
     {
         return a.service == b.service && a.address == b.address && a.zone == b.zone && a.slots == b.slots && a.state == b.state
             && a.kind == b.kind;
     }
 
-    /// What is news, as saysTheSame has it, and a change of stage that is under way.
+    /// What is news, as hasSameState has it, and a change of stage that is under way.
     std::uint64_t digestOf(const ReplicaRegistry::Entry& entry)
     {
         const auto& a = entry.announcement;
         auto text = a.id + '\n' + a.service + '\n' + a.address + '\n' + a.zone + '\n';
         auto numbers = { a.start.value(), static_cast<std::uint64_t>(a.slots), static_cast<std::uint64_t>(a.state),
-            static_cast<std::uint64_t>(a.kind), entry.changesTo ? 1 + static_cast<std::uint64_t>(*entry.changesTo) : 0 };
+            static_cast<std::uint64_t>(a.kind), entry.pendingStage ? 1 + static_cast<std::uint64_t>(*entry.pendingStage) : 0 };
         for (auto n : numbers)
             text += std::to_string(n) + ' ';
         return XXH3_64bits(text.data(), text.size());
@@ -31,15 +31,15 @@
 ReplicaRegistry::Change ReplicaRegistry::announce(const Announcement& announcement, Duration age, Instant now)
 {
     auto run = announcement.run();
-    forgetIfOld(run.id, now);
+    removeIfExpired(run.id, now);
     auto known = newestRun(run.id);
     if (hasEnded(run) || (known && run.isBefore(*known)))
         return Change::None;
     if (!known || known->isBefore(run)) {
         // Should the new run fall silent and be forgotten, a late announcement must not bring the former one back.
         if (known)
-            m_withdrawn.insert_or_assign(run.id, Ended { known->start, now });
-        noteChange();
+            m_withdrawn.insert_or_assign(run.id, EndedRun { known->start, now });
+        invalidateDigest();
         // An entry of its own: neither an order nor a renewal of a former run counts for this one.
         m_entries.insert_or_assign(run.id, Entry { announcement, now - age, {}, {} });
         return known ? Change::Restarted : Change::Changed;
@@ -48,14 +48,14 @@
     renew(run, age, now);
     if (announcement.sequence <= entry.announcement.sequence)
         return Change::None;
-    bool isSame = saysTheSame(entry.announcement, announcement);
+    bool isSame = hasSameState(entry.announcement, announcement);
     entry.announcement = announcement;
-    if (entry.changesTo == announcement.kind) {
-        entry.changesTo.reset();
-        noteChange();
+    if (entry.pendingStage == announcement.kind) {
+        entry.pendingStage.reset();
+        invalidateDigest();
     }
     if (!isSame)
-        noteChange();
+        invalidateDigest();
     return isSame ? Change::Renewed : Change::Changed;
 }
 
@@ -63,10 +63,10 @@
 {
     if (hasEnded(run))
         return false;
-    m_withdrawn.insert_or_assign(run.id, Ended { run.start, now });
+    m_withdrawn.insert_or_assign(run.id, EndedRun { run.start, now });
     if (auto it = m_entries.find(run.id); it != m_entries.end() && hasEnded(it->second.announcement.run()))
         m_entries.erase(it);
-    noteChange();
+    invalidateDigest();
     return true;
 }
 
@@ -96,7 +96,7 @@
 {
     auto it = m_entries.find(run.id);
     if (it != m_entries.end() && it->second.announcement.start == run.start)
-        it->second.heardAt = std::max(it->second.heardAt, now - age);
+        it->second.lastHeardAt = std::max(it->second.lastHeardAt, now - age);
 }
 
 void ReplicaRegistry::renew(const RegistryHeartbeat& heartbeat, Instant now)
@@ -104,18 +104,18 @@
     if (heartbeat.digest && heartbeat.digest == digest()) {
         for (auto& [id, entry] : m_entries) {
             if (!heartbeat.ages.contains(id))
-                entry.heardAt = std::max(entry.heardAt, now - usualAge);
+                entry.lastHeardAt = std::max(entry.lastHeardAt, now - assumedAge);
         }
     }
-    auto distance = heartbeat.startedAfter.begin();
+    auto distance = heartbeat.startOffsets.begin();
     for (const auto& [id, age] : heartbeat.ages) {
         // A process of a release without starts names none, and knows none either.
-        auto after = distance == heartbeat.startedAfter.end() ? 0 : *distance++;
-        renew({ id, ReplicaStart(heartbeat.earliest.value() + after) }, age, now);
+        auto after = distance == heartbeat.startOffsets.end() ? 0 : *distance++;
+        renew({ id, ReplicaStart(heartbeat.earliestStart.value() + after) }, age, now);
     }
 }
 
-RegistryHeartbeat ReplicaRegistry::heartbeat(Names names, Instant now) const
+RegistryHeartbeat ReplicaRegistry::heartbeat(HeartbeatScope scope, Instant now) const
 {
     RegistryHeartbeat heartbeat;
     heartbeat.digest = digest();
@@ -124,13 +124,13 @@
     auto first = std::min_element(m_entries.begin(), m_entries.end(), isEarlier);
     if (first == m_entries.end())
         return heartbeat;
-    heartbeat.earliest = first->second.announcement.start;
+    heartbeat.earliestStart = first->second.announcement.start;
     for (const auto& [id, entry] : m_entries) {
-        bool isRenewed = now - entry.heardAt <= freshFor;
-        if (names == Names::Unrenewed && isRenewed)
+        bool isRenewed = now - entry.lastHeardAt <= freshFor;
+        if (scope == HeartbeatScope::Stale && isRenewed)
             continue;
-        heartbeat.ages[id] = now - entry.heardAt;
-        heartbeat.startedAfter.push_back(entry.announcement.start.value() - heartbeat.earliest.value());
+        heartbeat.ages[id] = now - entry.lastHeardAt;
+        heartbeat.startOffsets.push_back(entry.announcement.start.value() - heartbeat.earliestStart.value());
     }
     return heartbeat;
 }
@@ -139,9 +139,9 @@
 {
     RegistryList list;
     for (const auto& [id, entry] : m_entries) {
-        list.known.push_back({ entry.announcement, now - entry.heardAt });
+        list.known.push_back({ entry.announcement, now - entry.lastHeardAt });
         if (entry.isChanging(now))
-            list.changing.push_back({ id, *entry.changesTo, entry.changeEndsAt - now, entry.announcement.start });
+            list.changing.push_back({ id, *entry.pendingStage, entry.changeExpiresAt - now, entry.announcement.start });
     }
     for (const auto& [id, ended] : m_withdrawn)
         list.ended.push_back({ id, ended.start });
@@ -165,38 +165,38 @@
     bool isOfRun = it != m_entries.end() && it->second.announcement.start == change.start;
     if (!isOfRun || it->second.announcement.kind == change.to || it->second.isChanging(now))
         return false;
-    noteChange();
-    it->second.changesTo = change.to;
-    it->second.changeEndsAt = now + change.lasts;
+    invalidateDigest();
+    it->second.pendingStage = change.to;
+    it->second.changeExpiresAt = now + change.lasts;
     return true;
 }
 
-void ReplicaRegistry::forgetOld(Instant now)
+void ReplicaRegistry::removeExpired(Instant now)
 {
     // The digest of 10,000 replicas takes 2.3 ms, and this is called with each heartbeat of each controller.
-    bool hasChanged = std::erase_if(m_entries, [now](const auto& item) { return item.second.isOld(now); }) > 0;
+    bool hasChanged = std::erase_if(m_entries, [now](const auto& item) { return item.second.isExpired(now); }) > 0;
     // A change that was not carried out is over everywhere, or the digests would differ from that of a process that started after it.
     for (auto& [id, entry] : m_entries) {
-        bool isOver = entry.changesTo && !entry.isChanging(now);
+        bool isOver = entry.pendingStage && !entry.isChanging(now);
         if (isOver)
-            entry.changesTo.reset();
+            entry.pendingStage.reset();
         hasChanged = hasChanged || isOver;
     }
     if (hasChanged)
-        noteChange();
-    std::erase_if(m_withdrawn, [now](const auto& item) { return item.second.isOld(now); });
+        invalidateDigest();
+    std::erase_if(m_withdrawn, [now](const auto& item) { return item.second.isExpired(now); });
 }
 
 /// What was to be forgotten by now must not depend on when this process last did so. A run whose clock was set back is taken by one
 /// controller at that moment and told to all others once; one that had not tidied up since would not take it, and never hear of it
 /// again.
-void ReplicaRegistry::forgetIfOld(const std::string& id, Instant now)
+void ReplicaRegistry::removeIfExpired(const std::string& id, Instant now)
 {
-    if (auto it = m_entries.find(id); it != m_entries.end() && it->second.isOld(now)) {
+    if (auto it = m_entries.find(id); it != m_entries.end() && it->second.isExpired(now)) {
         m_entries.erase(it);
-        noteChange();
+        invalidateDigest();
     }
-    if (auto it = m_withdrawn.find(id); it != m_withdrawn.end() && it->second.isOld(now))
+    if (auto it = m_withdrawn.find(id); it != m_withdrawn.end() && it->second.isExpired(now))
         m_withdrawn.erase(it);
 }
 
--- a/src/request/fleet/ReplicaRegistry.h
+++ b/src/request/fleet/ReplicaRegistry.h
@@ -34,33 +34,33 @@
     /// A replica that runs was heard of within this time: two announcements of 1.2 s.
     static constexpr Duration overdueAfter = 2400ms;
     /// A run that was heard of within this time need not be named to a gateway that knows it too: announcements come every 1.2 s, and some
-    /// hundred ms late. It takes it to have been heard of `usualAge` ago, which is wrong by 0.8 s at most, of the 4.5 s to silence.
+    /// hundred ms late. It takes it to have been heard of `assumedAge` ago, which is wrong by 0.8 s at most, of the 4.5 s to silence.
     static constexpr Duration freshFor = 1600ms;
-    static constexpr Duration usualAge = freshFor / 2;
+    static constexpr Duration assumedAge = freshFor / 2;
     /// An entry that nobody renewed for this long is dropped. Far above the seconds by which announcements are late.
-    static constexpr Duration forgetAfter = 60s;
+    static constexpr Duration expiredAfter = 60s;
     /// Withdrawn runs are remembered for this long, so that no late announcement revives one.
-    static constexpr Duration rememberWithdrawn = 300s;
+    static constexpr Duration withdrawnRetention = 300s;
 
     struct Entry {
         Announcement announcement;
-        Instant heardAt;
-        std::optional<UpstreamKind> changesTo; ///< It was ordered to change its stage and has not announced the new one.
-        Instant changeEndsAt; ///< It is taken for what it announces then, whatever became of the order.
+        Instant lastHeardAt;
+        std::optional<UpstreamKind> pendingStage; ///< It was ordered to change its stage and has not announced the new one.
+        Instant changeExpiresAt; ///< It is taken for what it announces then, whatever became of the order.
 
-        [[nodiscard]] bool isChanging(Instant now) const { return changesTo && changeEndsAt > now; }
+        [[nodiscard]] bool isChanging(Instant now) const { return pendingStage && changeExpiresAt > now; }
         /// It missed an announcement, so that it may have crashed.
-        [[nodiscard]] bool isOverdue(Instant now) const { return now - heardAt > overdueAfter; }
+        [[nodiscard]] bool isOverdue(Instant now) const { return now - lastHeardAt > overdueAfter; }
         /// It may be gone: neither remembered nor counted, and sent to only if there is no other.
-        [[nodiscard]] bool isSilent(Instant now) const { return now - heardAt > silentAfter; }
-        [[nodiscard]] bool isOld(Instant now) const { return now - heardAt > forgetAfter; }
+        [[nodiscard]] bool isSilent(Instant now) const { return now - lastHeardAt > silentAfter; }
+        [[nodiscard]] bool isExpired(Instant now) const { return now - lastHeardAt > expiredAfter; }
     };
     /// The newest run of an id that is known to have ended.
-    struct Ended {
+    struct EndedRun {
         ReplicaStart start;
         Instant at; ///< When this process heard of it.
 
-        [[nodiscard]] bool isOld(Instant now) const { return now - at > rememberWithdrawn; }
+        [[nodiscard]] bool isExpired(Instant now) const { return now - at > withdrawnRetention; }
     };
     enum class Change : std::uint8_t {
         None,
@@ -79,35 +79,35 @@
     /// Which runs a heartbeat names. Whoever renews a run that is not named believes it to be fresher than it may be, and must pass that on
     /// to nobody: two controllers that did so to each other renewed a run that had ended for ever, and callers were sent to its address,
     /// which another replica had by then.
-    enum class Names : std::uint8_t {
+    enum class HeartbeatScope : std::uint8_t {
         All, ///< For controllers, which tell others in turn.
-        Unrenewed, ///< For gateways, which tell nobody.
+        Stale, ///< For gateways, which tell nobody.
     };
     /// What renews all that is known here at a process with the same digest.
-    [[nodiscard]] RegistryHeartbeat heartbeat(Names, Instant now) const;
+    [[nodiscard]] RegistryHeartbeat heartbeat(HeartbeatScope, Instant now) const;
     /// All that another process needs to know the same.
     [[nodiscard]] RegistryList list(Instant now) const;
     /// The same at any two processes that know the same runs, addresses, states and changes of stage; never zero.
     [[nodiscard]] std::uint64_t digest() const;
     /// \returns whether this was news.
     bool changeStage(const StageChange&, Instant now);
-    void forgetOld(Instant now);
+    void removeExpired(Instant now);
 
     /// The newest run of the id that is known, whether it goes on or has ended.
     [[nodiscard]] std::optional<ReplicaRun> newestRun(const std::string& id) const;
     /// The entry of this very run; nullptr if it is not known, has ended, or has started again.
     [[nodiscard]] const Entry* find(const ReplicaRun&) const;
     [[nodiscard]] const std::map<std::string, Entry>& entries() const { return m_entries; }
-    [[nodiscard]] const std::map<std::string, Ended>& withdrawn() const { return m_withdrawn; }
+    [[nodiscard]] const std::map<std::string, EndedRun>& withdrawn() const { return m_withdrawn; }
 
 private:
     [[nodiscard]] bool hasEnded(const ReplicaRun&) const;
-    void noteChange() { m_digest = 0; }
-    void forgetIfOld(const std::string& id, Instant now);
+    void invalidateDigest() { m_digest = 0; }
+    void removeIfExpired(const std::string& id, Instant now);
 
     std::map<std::string, Entry> m_entries;
     mutable std::uint64_t m_digest = 0; ///< Zero: to be worked out anew.
-    std::map<std::string, Ended> m_withdrawn;
+    std::map<std::string, EndedRun> m_withdrawn;
 };
 
 } // namespace wrenhinge
--- a/src/request/fleet/RequestFingerprint.cpp
+++ b/src/request/fleet/RequestFingerprint.cpp
@@ -13,7 +13,7 @@
     return RequestFingerprint(hash);
 }
 
-RequestFingerprint ofAccount(RequestFingerprint fingerprint, std::string_view account)
+RequestFingerprint fingerprintForAccount(RequestFingerprint fingerprint, std::string_view account)
 {
     if (account.empty())
         return fingerprint;
--- a/src/request/fleet/RequestFingerprint.h
+++ b/src/request/fleet/RequestFingerprint.h
@@ -23,6 +23,6 @@
 RequestFingerprint fingerprintOf(const RequestParts&);
 /// The same request of this client account. A caller that shows one key and then another of its account is the same caller.
 /// \param account empty if the request names none.
-RequestFingerprint ofAccount(RequestFingerprint, std::string_view account);
+RequestFingerprint fingerprintForAccount(RequestFingerprint, std::string_view account);
 
 } // namespace wrenhinge
--- a/src/request/fleet/SharedRetryBudget.cpp
+++ b/src/request/fleet/SharedRetryBudget.cpp
@@ -2,7 +2,7 @@
 
 namespace wrenhinge {
 
-SharedRetryBudget::Window& SharedRetryBudget::current(const std::string& service, Instant now)
+SharedRetryBudget::Window& SharedRetryBudget::currentWindow(const std::string& service, Instant now)
 {
     auto& window = m_windows[service];
     for (auto* list : { &window.requests, &window.resends }) {
@@ -14,17 +14,17 @@
 
 void SharedRetryBudget::setGateways(std::uint32_t n, Instant now)
 {
-    bool isLarger = n >= m_gateways || !m_toldAt;
-    if (!n || (!isLarger && now - *m_toldAt <= m_settings.window))
+    bool isLarger = n >= m_gateways || !m_gatewaysUpdatedAt;
+    if (!n || (!isLarger && now - *m_gatewaysUpdatedAt <= m_settings.window))
         return;
     m_gateways = n;
-    m_toldAt = now;
+    m_gatewaysUpdatedAt = now;
 }
 
 double SharedRetryBudget::allowance(const Window& window, Instant now) const
 {
     bool hasJustStarted = !m_startedAt || now - *m_startedAt <= m_settings.window;
-    return (hasJustStarted ? usedAfterStart : usedShare)
+    return (hasJustStarted ? usableFractionAfterStart : usableFraction)
         * (m_settings.ratio * static_cast<double>(window.requests.size()) + m_settings.slack / m_gateways);
 }
 
@@ -32,29 +32,29 @@
 {
     if (!m_startedAt)
         m_startedAt = now;
-    current(service, now).requests.push_back(now);
+    currentWindow(service, now).requests.push_back(now);
 }
 
 bool SharedRetryBudget::take(const std::string& service, Instant now)
 {
-    auto& window = current(service, now);
+    auto& window = currentWindow(service, now);
     if (static_cast<double>(window.resends.size()) + 1 > allowance(window, now))
         return false;
     window.resends.push_back(now);
     return true;
 }
 
-double SharedRetryBudget::left(const std::string& service, Instant now)
+double SharedRetryBudget::remaining(const std::string& service, Instant now)
 {
-    auto& window = current(service, now);
+    auto& window = currentWindow(service, now);
     return allowance(window, now) - static_cast<double>(window.resends.size());
 }
 
-std::map<std::string, double> SharedRetryBudget::leftByService(Instant now)
+std::map<std::string, double> SharedRetryBudget::remainingByService(Instant now)
 {
     std::map<std::string, double> all;
     for (const auto& [service, window] : m_windows)
-        all[service] = left(service, now);
+        all[service] = remaining(service, now);
     return all;
 }
 
--- a/src/request/forward/ForwardAccounts.cpp
+++ b/src/request/forward/ForwardAccounts.cpp
@@ -17,20 +17,20 @@
     auto& ask = flow.ask;
     if (!flow.table->hasAccounts()) {
         // Nobody says whose keys these are, so each stands for itself.
-        ask.fingerprint = ofAccount(ask.fingerprint, ask.key ? ask.key->hex() : "");
+        ask.fingerprint = fingerprintForAccount(ask.fingerprint, ask.key ? ask.key->hex() : "");
         return true;
     }
     flow.account = ask.key ? flow.table->account(*ask.key) : nullptr;
     if (!flow.account && !flow.route->isPublic) {
         // A gateway that hears no controller may only not have heard of the key yet, and 401 is final for a caller.
-        bool mayHaveMissedIt = !m_quotas.isHearing(now);
+        bool mayHaveMissedIt = !m_quotas.hasContact(now);
         ++m_refusedKeys;
         auto shown = ask.key ? "the key " + ask.key->shortHex() + " is no account's" : std::string("no key is shown");
         auto code = mayHaveMissedIt && ask.key ? ResultCode::ConfigUnavailable : ResultCode::UnknownAccount;
         refuse(flow, code, shown, now);
         return false;
     }
-    ask.fingerprint = ofAccount(ask.fingerprint, flow.account ? flow.account->name : "");
+    ask.fingerprint = fingerprintForAccount(ask.fingerprint, flow.account ? flow.account->name : "");
     return true;
 }
 
@@ -81,7 +81,7 @@
     const auto& quota = flow.account->quota;
     if (quota.unit == QuotaRule::Unit::Requests)
         return 1;
-    return flow.ask.statesTokens ? flow.ask.promptTokens + flow.ask.outputTokens : quota.plainTokens;
+    return flow.ask.hasTokenCounts ? flow.ask.promptTokens + flow.ask.outputTokens : quota.defaultTokens;
 }
 
 /// Refuses a request beyond its account's quota, before a replica or what others wait for is touched. \returns false if it did.
@@ -96,11 +96,11 @@
         return true;
     }
     auto& quota = m_quotas.accounts().at(flow.account->name);
-    auto toldAt = quota.toldAt();
-    auto heard = toldAt ? "told " + std::to_string((now - *toldAt) / 1ms) + " ms ago" : std::string("never told");
+    auto lastTotalAt = quota.lastTotalAt();
+    auto heard = lastTotalAt ? "told " + std::to_string((now - *lastTotalAt) / 1ms) + " ms ago" : std::string("never told");
     refuseUntil(flow, ResultCode::AccountRateLimit,
         "account " + flow.account->name + " asks for " + std::to_string(std::llround(amount)) + " and has "
-            + std::to_string(std::llround(quota.left(now))) + " left of " + std::to_string(std::llround(quota.rule().perSecond))
+            + std::to_string(std::llround(quota.remaining(now))) + " left of " + std::to_string(std::llround(quota.rule().perSecond))
             + " a second, " + heard,
         verdict.retryAfter, now);
     return false;
@@ -112,15 +112,15 @@
     auto status = httpStatusOf(code);
     bool hasNotRun = status == 503 || status == 429 || status == 401 || !flow.sends;
     if (auto charged = std::exchange(flow.charged, 0); charged > 0 && hasNotRun)
-        m_quotas.giveBack(flow.account->name, charged, now);
+        m_quotas.refund(flow.account->name, charged, now);
 }
 
-void ForwardLogic::on(const QuotaTold& event, Instant now) { m_quotas.take(event.controller, event.totals, now); }
+void ForwardLogic::on(const QuotaTotalsReceived& event, Instant now) { m_quotas.take(event.controller, event.totals, now); }
 
 void ForwardLogic::reportUse(Instant now)
 {
     if (auto report = m_quotas.report(now))
-        m_effects.push_back(ReportUse { std::move(*report) });
+        m_effects.push_back(ReportQuotaUsage { std::move(*report) });
 }
 
 } // namespace wrenhinge
--- a/src/request/forward/ForwardAnswers.cpp
+++ b/src/request/forward/ForwardAnswers.cpp
@@ -66,8 +66,8 @@
             continue;
         if (!flow.hasBegun) {
             flow.hasBegun = true;
-            flow.untilFirst = now - flow.arrivedAt;
-            m_effects.push_back(Note {
+            flow.timeToFirstByte = now - flow.arrivedAt;
+            m_effects.push_back(LogEvent {
                 EventCode::FirstByte, flow.id, toString(flow.replica) + " after " + std::to_string((now - flow.sentAt) / 1ms) + " ms" });
             m_effects.push_back(BeginStream { flow.id, flow.facts.status, flow.headers });
         } else {
@@ -91,12 +91,12 @@
         endCall(*flow, CallOutcome::Abandoned, now);
         return refuse(*flow, ResultCode::MalformedRequest, "the replica refused the request as malformed", now);
     }
-    if (facts.wasNotRun || facts.isOtherReplica) {
-        if (facts.isOtherReplica)
+    if (facts.wasNotRun || facts.isMisdirected) {
+        if (facts.isMisdirected)
             takeSourceBack(*flow);
         else if (!flow->route->hasPrompt)
             m_shedder.noteFull(flow->service, now);
-        endCall(*flow, facts.isOtherReplica ? CallOutcome::Misdirected : CallOutcome::Refused, now);
+        endCall(*flow, facts.isMisdirected ? CallOutcome::Misdirected : CallOutcome::Refused, now);
         ++flow->refusals;
         return resendOrFail(*flow, false, "the replica did not run the request", now);
     }
@@ -117,29 +117,29 @@
         return;
     if (!isFailure)
         noteServed(*flow, now);
-    m_effects.push_back(Note { EventCode::RequestFinished, flow->id,
+    m_effects.push_back(LogEvent { EventCode::RequestFinished, flow->id,
         std::to_string(facts.status) + " after " + std::to_string((now - flow->arrivedAt) / 1ms) + " ms" });
     m_effects.push_back(Reply { flow->id, facts.status, std::move(flow->headers), std::move(flow->body) });
-    flow->untilFirst = now - flow->arrivedAt;
+    flow->timeToFirstByte = now - flow->arrivedAt;
     finish(*flow, isFailure ? ResultCode::UpstreamFailed : ResultCode::Ok, now);
 }
 
 void ForwardLogic::endStream(Flow& flow, Instant now)
 {
-    bool isWhole = flow.splitter.rest().empty() && flow.hasBegun;
-    endCall(flow, isWhole ? CallOutcome::Served : CallOutcome::Failed, now);
-    if (!isWhole) {
+    bool isComplete = flow.splitter.rest().empty() && flow.hasBegun;
+    endCall(flow, isComplete ? CallOutcome::Served : CallOutcome::Failed, now);
+    if (!isComplete) {
         noteCrash(flow, now);
         return resendOrFail(flow, true, "the stream ended inside an event", now);
     }
     noteServed(flow, now);
-    m_effects.push_back(Note { EventCode::RequestFinished, flow.id,
+    m_effects.push_back(LogEvent { EventCode::RequestFinished, flow.id,
         "stream after " + std::to_string((now - flow.arrivedAt) / 1ms) + " ms, longest pause " + std::to_string(flow.longestPause / 1ms)
             + " ms" });
     m_effects.push_back(EndStream { flow.id });
     // The rest of a stream tells nothing of a whole one.
     if (!flow.ask.resumeAfter)
-        m_forecast.note(flow.service, expectedTokensOf(flow), *flow.untilFirst, now - flow.arrivedAt - *flow.untilFirst);
+        m_forecast.note(flow.service, expectedTokensOf(flow), *flow.timeToFirstByte, now - flow.arrivedAt - *flow.timeToFirstByte);
     finish(flow, ResultCode::Ok, now);
 }
 
@@ -163,12 +163,12 @@
     flow.isCalling = false;
     m_replicas.end(flow.replica, tokensOf(flow), outcome, now - flow.sentAt, now);
     if (auto sidecar = std::exchange(flow.readsBeside, std::nullopt))
-        m_effects.push_back(NotePrefill { *sidecar, flow.id, flow.ask.promptTokens, true });
+        m_effects.push_back(NotifyPrefill { *sidecar, flow.id, flow.ask.promptTokens, true });
     if (flow.stage != Flow::Stage::Running)
         return;
     endReservation(flow, outcome == CallOutcome::Served, outcome == CallOutcome::Failed && !flow.hasBegun);
     if (m_queue.size()) {
-        m_replicas.noteRoom(flow.replica);
+        m_replicas.clearFull(flow.replica);
         m_mayAdmit = true;
     }
 }
@@ -193,7 +193,7 @@
 bool ForwardLogic::resend(Flow& flow, Instant now)
 {
     bool isPossible
-        = mayRunAgain(flow) && !crashesReplicas(flow, now) && flow.sends < sendLimit && m_replicas.choose(needOf(flow), flow.tried, now);
+        = mayRunAgain(flow) && !crashesReplicas(flow, now) && flow.sends < maxSends && m_replicas.choose(needOf(flow), flow.tried, now);
     return isPossible && m_budget.take(flow.service, now) && (prefillAgain(flow, now) || send(flow, now));
 }
 
@@ -203,12 +203,12 @@
     if (flow.endsAt <= now)
         return giveUp(flow, now);
     if (resend(flow, now)) {
-        m_effects.push_back(Note { EventCode::RequestRetried, flow.id, why });
+        m_effects.push_back(LogEvent { EventCode::RequestRetried, flow.id, why });
         return;
     }
     if (flow.hasBegun) {
-        m_effects.push_back(Note { EventCode::RequestFailed, flow.id, why + " at " + toString(flow.replica) });
-        m_effects.push_back(BreakStream { flow.id });
+        m_effects.push_back(LogEvent { EventCode::RequestFailed, flow.id, why + " at " + toString(flow.replica) });
+        m_effects.push_back(AbortStream { flow.id });
         return finish(flow, ResultCode::UpstreamFailed, now);
     }
     if (crashesReplicas(flow, now))
@@ -236,7 +236,7 @@
     auto text = std::string(nameOf(code)) + ": " + why;
     if (hasFailed)
         text += " at " + toString(flow.replica);
-    m_effects.push_back(Note { hasFailed ? EventCode::RequestFailed : EventCode::RequestRefused, flow.id, std::move(text) });
+    m_effects.push_back(LogEvent { hasFailed ? EventCode::RequestFailed : EventCode::RequestRefused, flow.id, std::move(text) });
     m_effects.push_back(Refuse { flow.id, std::move(error) });
     finish(flow, code, now);
 }
@@ -249,8 +249,8 @@
         endCall(flow, flow.hasHead ? CallOutcome::Abandoned : CallOutcome::Failed, now);
     }
     if (flow.hasBegun) {
-        m_effects.push_back(Note { EventCode::RequestFailed, flow.id, "the stream did not end in time" });
-        m_effects.push_back(BreakStream { flow.id });
+        m_effects.push_back(LogEvent { EventCode::RequestFailed, flow.id, "the stream did not end in time" });
+        m_effects.push_back(AbortStream { flow.id });
         return finish(flow, ResultCode::TimedOut, now);
     }
     bool wasRunning = wasCalling && flow.stage == Flow::Stage::Running;
@@ -259,14 +259,14 @@
     refuse(flow, mayHaveRun ? ResultCode::TimedOut : ResultCode::DeadlineUnreachable, "no answer in time", now);
 }
 
-void ForwardLogic::on(const CallerGone& event, Instant now)
+void ForwardLogic::on(const CallerDisconnected& event, Instant now)
 {
     auto it = m_flows.find(event.id);
     if (it == m_flows.end())
         return;
     auto& flow = it->second;
     m_effects.push_back(
-        Note { EventCode::RequestCancelled, flow.id, "the caller left after " + std::to_string((now - flow.arrivedAt) / 1ms) + " ms" });
+        LogEvent { EventCode::RequestCancelled, flow.id, "the caller left after " + std::to_string((now - flow.arrivedAt) / 1ms) + " ms" });
     abandonCall(flow, now);
     finish(flow, ResultCode::Cancelled, now);
 }
@@ -274,8 +274,8 @@
 void ForwardLogic::finish(Flow& flow, ResultCode code, Instant now)
 {
     if (flow.admittedAt)
-        m_engineLoad.leave(flow.service, *flow.admittedAt, code == ResultCode::Ok, now);
-    m_effects.push_back(Finished { flow.route ? flow.route->name : "", code, flow.sends, flow.untilFirst, flow.waitedForPlace });
+        m_engineLoad.finish(flow.service, *flow.admittedAt, code == ResultCode::Ok, now);
+    m_effects.push_back(Finished { flow.route ? flow.route->name : "", code, flow.sends, flow.timeToFirstByte, flow.reservationWait });
     giveBackCharge(flow, code, now);
     dropSource(flow);
     dropPlace(flow);
--- a/src/request/forward/ForwardCrashes.cpp
+++ b/src/request/forward/ForwardCrashes.cpp
@@ -28,22 +28,25 @@
 void ForwardLogic::tellCrashes(std::optional<PeerId> controller, CrashReport report)
 {
     if (!report.isEmpty())
-        m_effects.push_back(TellCrashes { controller, std::move(report) });
+        m_effects.push_back(ReportCrashes { controller, std::move(report) });
 }
 
 bool ForwardLogic::crashesReplicas(const Flow& flow, Instant now) const
 {
-    return m_crashes.standing(flow.ask.fingerprint, now) == CrashTracker::Standing::Refused;
+    return m_crashes.statusOf(flow.ask.fingerprint, now) == CrashTracker::Status::Refused;
 }
 
 /// It may have run, under another id, so this is no "not run"; nor is there a time at which to come back.
-void ForwardLogic::refuseAsCrashing(Flow& flow, Instant now) { refuse(flow, ResultCode::CrashesReplicas, CrashTracker::whyRefused, now); }
+void ForwardLogic::refuseAsCrashing(Flow& flow, Instant now)
+{
+    refuse(flow, ResultCode::CrashesReplicas, CrashTracker::refusalReason, now);
+}
 
 void ForwardLogic::noteIfRefused(RequestFingerprint fingerprint, Instant now)
 {
-    if (m_crashes.standing(fingerprint, now) != CrashTracker::Standing::Refused || !m_newlyRefused.insert(fingerprint).second)
+    if (m_crashes.statusOf(fingerprint, now) != CrashTracker::Status::Refused || !m_newlyRefused.insert(fingerprint).second)
         return;
-    m_effects.push_back(Note { EventCode::RequestCrashesReplicas, {}, m_crashes.text(fingerprint) });
+    m_effects.push_back(LogEvent { EventCode::RequestCrashesReplicas, {}, m_crashes.text(fingerprint) });
 }
 
 /// A request that waits here while others like it have crashed replicas would crash one more.
@@ -63,13 +66,13 @@
     }
 }
 
-void ForwardLogic::on(const ControllerUp& event, Instant now)
+void ForwardLogic::on(const ControllerConnected& event, Instant now)
 {
     // The controller may have started again and know nothing.
-    tellCrashes(event.controller, m_crashes.describeAll(CrashTracker::Standing::Unknown, now));
+    tellCrashes(event.controller, m_crashes.describeAll(CrashTracker::Status::Unknown, now));
 }
 
-void ForwardLogic::on(const CrashesTold& event, Instant now)
+void ForwardLogic::on(const CrashesReported& event, Instant now)
 {
     auto news = m_crashes.take(event.report, now);
     for (const auto& crash : news.crashes)
--- a/src/request/forward/ForwardEngines.cpp
+++ b/src/request/forward/ForwardEngines.cpp
@@ -9,17 +9,17 @@
 
 // --- What controllers know of replicas --------------------------------------------------------------------------
 
-void ForwardLogic::on(const RegistryTold& event, Instant now)
+void ForwardLogic::on(const RegistryHeartbeatReceived& event, Instant now)
 {
-    m_quotas.heard(event.controller, now);
+    m_quotas.noteContact(event.controller, now);
     on(event.heartbeat, now);
-    m_follower.told(event.controller, event.heartbeat.digest, event.heartbeat.known);
+    m_follower.digestReceived(event.controller, event.heartbeat.digest, event.heartbeat.known);
     askForRegistry(now);
 }
 
-void ForwardLogic::on(const RegistryListed& event, Instant now)
+void ForwardLogic::on(const RegistryListReceived& event, Instant now)
 {
-    m_follower.listed(event.controller);
+    m_follower.listReceived(event.controller);
     for (const auto& announced : event.list.known)
         take(announced, now);
     for (const auto& withdrawn : event.list.ended)
@@ -33,22 +33,22 @@
 void ForwardLogic::askForRegistry(Instant now)
 {
     auto digest = m_replicas.registry().digest();
-    if (auto controller = m_follower.nextToAsk(digest, now))
-        m_effects.push_back(AskRegistry { *controller, { digest } });
+    if (auto controller = m_follower.nextPeerToQuery(digest, now))
+        m_effects.push_back(FetchRegistry { *controller, { digest } });
 }
 
-void ForwardLogic::on(const PeerGone& event, Instant)
+void ForwardLogic::on(const PeerDisconnected& event, Instant)
 {
     m_replicas.rooms().forget(event.peer);
-    m_follower.gone(event.peer);
-    m_quotas.gone(event.peer);
+    m_follower.disconnected(event.peer);
+    m_quotas.disconnected(event.peer);
 }
 
 // --- Which engines are used -------------------------------------------------------------------------------------
 
 void ForwardLogic::chooseEnginesIfDue(Instant now)
 {
-    if (now - m_enginesChosenAt >= chooseEnginesEvery)
+    if (now - m_enginesChosenAt >= engineSelectionInterval)
         chooseEngines(now);
 }
 
@@ -68,17 +68,17 @@
         used.insert(entries.at(id).announcement.address);
     for (const auto& address : used) {
         if (m_sidecarLinks.insert_or_assign(address, Instant::max()).second)
-            m_effects.push_back(LinkSidecar { address });
+            m_effects.push_back(ConnectSidecar { address });
     }
     for (auto it = m_sidecarLinks.begin(); it != m_sidecarLinks.end();) {
         auto& [address, until] = *it;
         if (!used.contains(address) && until == Instant::max())
-            until = now + keepLinkFor;
+            until = now + linkRetention;
         if (until > now) {
             ++it;
             continue;
         }
-        m_effects.push_back(LeaveSidecar { address });
+        m_effects.push_back(DisconnectSidecar { address });
         it = m_sidecarLinks.erase(it);
     }
 }
--- a/src/request/forward/ForwardEvents.h
+++ b/src/request/forward/ForwardEvents.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "message/Messages.h"
-#include "request/engine/EngineRooms.h"
+#include "request/engine/EngineHeadroomTable.h"
 #include "request/forward/EventSplitter.h"
 #include "version/RoutingDocument.h"
 
@@ -15,40 +15,40 @@
 namespace wrenhinge::forward {
 
 /// What the decisions need to know of a caller's request; its bytes stay with the connection.
-struct Ask {
+struct RequestMetadata {
     std::string host;
     std::string path; ///< Without the query.
     RequestFingerprint fingerprint; ///< Without the account, which only the document tells.
     std::optional<SecretDigest> key; ///< What the caller shows to prove whose request it is.
-    std::optional<Duration> patience; ///< How long the caller will wait, counted from its sending.
+    std::optional<Duration> callerTimeout; ///< How long the caller will wait, counted from its sending.
     Duration readFor {}; ///< How long its reading took: already gone of the patience.
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0; ///< At most.
-    bool statesTokens = false; ///< The caller says how many.
+    bool hasTokenCounts = false; ///< The caller says how many.
     std::optional<std::uint32_t> expectedTokens; ///< The caller's estimate of the output.
     std::optional<std::uint64_t> resumeAfter; ///< The caller itself goes on with a stream after this event.
 };
 
 /// What an answer's head says, whatever words it used for it.
-struct AnswerFacts {
+struct AnswerMetadata {
     int status = 0;
     bool wasNotRun = false; ///< The replica states that it did not run the request.
-    bool isOtherReplica = false; ///< The address belongs to another replica than the one that was meant.
+    bool isMisdirected = false; ///< The address belongs to another replica than the one that was meant.
     bool isGenuine = true; ///< A success that bears what only a replica's success bears.
     bool isStream = false;
 };
 
 struct Submit {
     RequestId id;
-    Ask ask;
+    RequestMetadata ask;
 };
-struct CallerGone {
+struct CallerDisconnected {
     RequestId id;
 };
 struct AnswerHead {
     RequestId id;
     Attempt attempt;
-    AnswerFacts facts;
+    AnswerMetadata facts;
     HeaderList headers;
 };
 /// A piece of an answer's body; of a stream, as it came.
@@ -68,75 +68,75 @@
     std::string why;
 };
 /// A decode replica has set a slot and memory aside for the request, under this id.
-struct PlaceTaken {
+struct ReservationGranted {
     RequestId id;
     Attempt attempt;
-    std::string place;
+    std::string reservation;
 };
 /// The replica has no room now, or could not be asked.
-struct PlaceRefused {
+struct ReservationRefused {
     RequestId id;
     Attempt attempt;
     bool wasReached = true;
 };
 /// The answer of a sidecar to Reserve.
-struct ReservationAnswered {
+struct SidecarReservationReply {
     RequestId id;
     Attempt attempt;
     bool isGranted = false;
     std::uint64_t room = 0; ///< In tokens, with this reservation counted.
 };
 /// A sidecar tells how much room its engine's memory has.
-struct RoomTold {
+struct EngineCapacityReported {
     std::string address; ///< The engine's.
-    EngineRooms::Room room;
+    EngineHeadroomTable::Headroom room;
 };
 /// A link has ended.
-struct PeerGone {
+struct PeerDisconnected {
     PeerId peer;
 };
 /// A controller's heartbeat.
-struct RegistryTold {
+struct RegistryHeartbeatReceived {
     PeerId controller;
     RegistryHeartbeat heartbeat;
 };
-/// A controller's answer to AskRegistry.
-struct RegistryListed {
+/// A controller's answer to FetchRegistry.
+struct RegistryListReceived {
     PeerId controller;
     RegistryList list;
 };
 /// A prefill replica holds the prompt's KV cache for a short time under this handle.
-struct PromptRead {
+struct PrefillFinished {
     RequestId id;
     Attempt attempt;
     std::string handle;
 };
 /// A prefill replica answered without a handle.
-struct PromptNotRead {
+struct PrefillFailed {
     RequestId id;
     Attempt attempt;
     bool wasNotAccepted = false; ///< It states that it did nothing.
-    bool isOtherReplica = false; ///< As in AnswerFacts.
+    bool isMisdirected = false; ///< As in AnswerMetadata.
 };
 /// A document that a controller sent, already checked.
-struct TakeDocument {
+struct DocumentReceived {
     RoutingDocument document;
     bool isCurrent = false;
 };
 /// A controller says that the document with this version is the newest.
-struct ConfirmDocument {
+struct DocumentConfirmed {
     std::uint64_t version = 0;
 };
 /// A link to a controller has come up.
-struct ControllerUp {
+struct ControllerConnected {
     PeerId controller;
 };
 /// A controller tells which requests have crashed replicas.
-struct CrashesTold {
+struct CrashesReported {
     CrashReport report;
 };
 /// A controller tells what other gateways admit for client accounts.
-struct QuotaTold {
+struct QuotaTotalsReceived {
     PeerId controller;
     QuotaTotals totals;
 };
@@ -145,12 +145,13 @@
     Instant endsAt;
 };
 struct Tick { };
-using wrenhinge::Announced;
 using wrenhinge::RegistryHeartbeat;
+using wrenhinge::RelayedAnnouncement;
+using wrenhinge::ReplicaWithdrawn;
 using wrenhinge::StageChange;
-using wrenhinge::Withdrawn;
-using Event = std::variant<Submit, CallerGone, AnswerHead, AnswerBody, AnswerEnd, CallFailed, PlaceTaken, PlaceRefused, ReservationAnswered,
-    RoomTold, PeerGone, RegistryTold, RegistryListed, PromptRead, PromptNotRead, TakeDocument, ConfirmDocument, Announced, Withdrawn,
-    RegistryHeartbeat, StageChange, ControllerUp, CrashesTold, QuotaTold, Stop, Tick>;
+using Event = std::variant<Submit, CallerDisconnected, AnswerHead, AnswerBody, AnswerEnd, CallFailed, ReservationGranted,
+    ReservationRefused, SidecarReservationReply, EngineCapacityReported, PeerDisconnected, RegistryHeartbeatReceived, RegistryListReceived,
+    PrefillFinished, PrefillFailed, DocumentReceived, DocumentConfirmed, RelayedAnnouncement, ReplicaWithdrawn, RegistryHeartbeat,
+    StageChange, ControllerConnected, CrashesReported, QuotaTotalsReceived, Stop, Tick>;
 
 } // namespace wrenhinge::forward
--- a/src/request/forward/ForwardFlow.h
+++ b/src/request/forward/ForwardFlow.h
@@ -5,7 +5,7 @@
 
 #include "request/forward/ForwardEffects.h"
 #include "request/forward/ForwardEvents.h"
-#include "request/forward/PlaceQueue.h"
+#include "request/forward/ReservationQueue.h"
 
 #include <memory>
 #include <set>
@@ -22,7 +22,7 @@
     };
 
     RequestId id;
-    forward::Ask ask;
+    forward::RequestMetadata ask;
     std::shared_ptr<const RouteTable> table; ///< Keeps the route alive, whatever documents come.
     const Route* route = nullptr;
     const AccountRule* account = nullptr; ///< Whose request it is; nullptr: the document has no accounts, or the route needs none.
@@ -41,8 +41,8 @@
     Instant sentAt;
     std::optional<Instant> admittedAt; ///< When it began to run at an engine.
     std::uint32_t placesAsked = 0;
-    Duration waitedForPlace {};
-    std::optional<Duration> untilFirst;
+    Duration reservationWait {};
+    std::optional<Duration> timeToFirstByte;
     std::uint32_t sends = 0;
     std::uint32_t refusals = 0; ///< Sends that a replica answered as not run.
     std::uint32_t runs = 0; ///< Sends that ran or may have.
@@ -50,12 +50,12 @@
     std::set<ReplicaRun> triedReaders; ///< Replicas that were asked to read the prompt; one without a stage may still run it.
 
     // What waits at engines for this request.
-    PlaceQueue::Waiter waiter;
-    std::optional<forward::Place> place;
+    ReservationQueue::Waiter waiter;
+    std::optional<forward::Reservation> reservation;
     std::optional<PeerId> reservedBy; ///< The sidecar that was asked for the place, and then counts the request at its engine.
-    std::optional<forward::PromptSource> source;
+    std::optional<forward::KvCacheSource> source;
     Instant sourceEndsAt;
-    std::optional<forward::PromptSource> sentSource; ///< Named in the present call, which fetches it if the replica takes the call.
+    std::optional<forward::KvCacheSource> sentSource; ///< Named in the present call, which fetches it if the replica takes the call.
     std::optional<PeerId> readsBeside; ///< The sidecar of the replica that is asked to read the prompt now.
     ReplicaRun reader; ///< The prefill replica that has read the prompt.
     std::string readerAddress;
@@ -63,7 +63,7 @@
 
     // The answer in progress.
     bool hasHead = false;
-    forward::AnswerFacts facts;
+    forward::AnswerMetadata facts;
     HeaderList headers;
     std::string body;
 
