--- a/src/version/ControllerLogic.cpp
+++ b/src/version/ControllerLogic.cpp
@@ -7,18 +7,18 @@
 namespace {
 
     /// Documents that wait at the leader for the one before them. Operators have a handful under way at once.
-    constexpr std::size_t mostQueuedDocuments = 16;
+    constexpr std::size_t maxQueuedDocuments = 16;
 
-    raft::Settings withReader(raft::Settings settings)
+    raft::Settings withSnapshotCheck(raft::Settings settings)
     {
-        settings.canRead = ControllerState::canLoad;
+        settings.canLoadSnapshot = ControllerState::canLoad;
         return settings;
     }
 
 } // namespace
 
 ControllerLogic::ControllerLogic(raft::Settings settings, raft::Recovered recovered, Instant now)
-    : m_settings(withReader(std::move(settings)))
+    : m_settings(withSnapshotCheck(std::move(settings)))
     , m_raft(m_settings, std::move(recovered), now)
     , m_state(m_settings.safeguards)
 {
@@ -26,7 +26,7 @@
 
 ControllerLogic::Effects ControllerLogic::start()
 {
-    take(m_raft.recover(), Instant());
+    handleRaftEffects(m_raft.recover(), Instant());
     return std::exchange(m_effects, {});
 }
 
@@ -34,10 +34,10 @@
 {
     for (const auto& event : events)
         std::visit([this, now](const auto& e) { on(e, now); }, event);
-    take(m_raft.flush(now), now);
-    bool isLong = m_raft.entriesKept() > compactAbove && m_raft.appliedIndex() + compactAbove / 2 > m_raft.lastIndex();
+    handleRaftEffects(m_raft.flush(now), now);
+    bool isLong = m_raft.entriesKept() > compactAboveEntries && m_raft.appliedIndex() + compactAboveEntries / 2 > m_raft.lastIndex();
     if (isLong || m_raft.bytesKept() > compactAboveBytes)
-        take(m_raft.compact(m_state.save()), now);
+        handleRaftEffects(m_raft.compact(m_state.save()), now);
     proposeQueuedDocuments(now);
     answerPendingReads();
     offerDocument(now);
@@ -49,24 +49,24 @@
 void ControllerLogic::on(const controller::PeerUp& event, Instant now)
 {
     m_peers[event.peer.id] = event.peer;
-    if (memberAt(event.peer.id)) {
+    if (controllerAt(event.peer.id)) {
         m_byName[event.peer.name] = event.peer.id;
         if (m_settings.isDynamic)
-            m_raft.meet(event.peer.name, event.peer.zone, now);
+            m_raft.addPeer(event.peer.name, event.peer.zone, now);
     }
     if (event.peer.role == Role::Gateway)
-        m_documentSource.meet(event.peer.id);
+        m_documentSource.addPeer(event.peer.id);
 }
 
 void ControllerLogic::on(const controller::PeerDown& event, Instant)
 {
     m_watchers.erase(event.peer);
-    m_documentSource.lose(event.peer);
-    if (const auto* member = memberAt(event.peer)) {
+    m_documentSource.removePeer(event.peer);
+    if (const auto* member = controllerAt(event.peer)) {
         if (auto named = m_byName.find(member->name); named != m_byName.end() && named->second == event.peer)
             m_byName.erase(named);
         if (m_settings.isDynamic && !m_byName.contains(member->name))
-            m_raft.lose(member->name);
+            m_raft.removePeer(member->name);
         // What it was asked may be lost with the link; whoever asked tries again.
         for (auto ticket : std::exchange(m_forwarded, {}))
             reply({ 0, {}, ticket, true }, notLeader());
@@ -75,7 +75,7 @@
 }
 
 /// The Hello of a peer that is a member of the controllers' group, or nullptr.
-const Hello* ControllerLogic::memberAt(PeerId peer) const
+const Hello* ControllerLogic::controllerAt(PeerId peer) const
 {
     auto it = m_peers.find(peer);
     if (it == m_peers.end() || it->second.role != Role::Controller)
@@ -87,13 +87,13 @@
     return isMember ? &it->second : nullptr;
 }
 
-void ControllerLogic::on(const controller::FromPeer& event, Instant now)
+void ControllerLogic::on(const controller::PeerMessage& event, Instant now)
 {
     if (const auto* propose = std::get_if<Propose>(&event.message)) {
         this->propose(propose->command, { 0, event.peer, propose->proposal, false }, now);
     } else if (const auto* watch = std::get_if<Watch>(&event.message)) {
         onWatch(event.peer, *watch, now);
-    } else if (const auto* inForce = std::get_if<InForce>(&event.message)) {
+    } else if (const auto* inForce = std::get_if<ConfigApplied>(&event.message)) {
         onInForce(event.peer, *inForce, now);
     } else if (const auto* answer = std::get_if<ProposeReply>(&event.message)) {
         if (m_forwarded.erase(answer->proposal))
@@ -106,8 +106,8 @@
     } else if (const auto* request = std::get_if<DocumentRequest>(&event.message)) {
         if (auto part = m_documentSource.answer(*request, m_state.document(), now))
             m_effects.push_back(controller::Send { event.peer, std::move(*part) });
-    } else if (const auto* member = memberAt(event.peer)) {
-        take(m_raft.receive(member->name, event.message, now), now);
+    } else if (const auto* member = controllerAt(event.peer)) {
+        handleRaftEffects(m_raft.receive(member->name, event.message, now), now);
     }
 }
 
@@ -116,7 +116,7 @@
     const auto* document = std::get_if<DocumentCommand>(&event.command);
     if (auto leader = leaderPeer(); document && leader != PeerId()) {
         m_forwarded.insert(event.ticket);
-        auto command = event.isWhole ? *document : m_state.document().commandFor(document->version, document->text);
+        auto command = event.sendsWholeText ? *document : m_state.document().commandFor(document->version, document->text);
         m_effects.push_back(controller::Send { leader, Propose { event.ticket, std::move(command) } });
         return;
     }
@@ -132,49 +132,49 @@
 
 void ControllerLogic::on(const controller::Tick&, Instant now)
 {
-    take(m_raft.tick(now), now);
+    handleRaftEffects(m_raft.tick(now), now);
     confirmWatchers(now);
-    bringAllUpToDate(now);
+    sendMissingChangesToAll(now);
 }
 
-void ControllerLogic::propose(Command command, Waiting waiting, Instant now)
+void ControllerLogic::propose(Command command, PendingProposal pending, Instant now)
 {
     if (!m_raft.isLeader())
-        return reply(waiting, notLeader());
+        return reply(pending, notLeader());
     if (auto* document = std::get_if<DocumentCommand>(&command))
-        return proposeDocument(std::move(*document), waiting, now);
-    append(std::move(command), waiting, now);
+        return proposeDocument(std::move(*document), pending, now);
+    append(std::move(command), pending, now);
 }
 
 /// One document at a time is on its way through the log, so that each is a change of the one before it, which everybody holds.
-void ControllerLogic::proposeDocument(DocumentCommand command, Waiting waiting, Instant now)
+void ControllerLogic::proposeDocument(DocumentCommand command, PendingProposal pending, Instant now)
 {
     const auto& document = m_state.document();
-    if (m_documentQueue.size() >= mostQueuedDocuments)
-        return reply(waiting, notLeader());
+    if (m_documentQueue.size() >= maxQueuedDocuments)
+        return reply(pending, notLeader());
     if (m_raft.hasUnappliedDocument() || !m_documentQueue.empty()) {
         // By the time its turn comes the version that it is a change of is a former one: refused then, all that wait would be sent again.
         auto text = command.base && command.base == document.version() ? applyChange(document.text(), command.change) : std::nullopt;
         if (text)
             command = { command.version, std::move(*text), 0, {} };
-        m_documentQueue.push_back({ std::move(command), waiting });
+        m_documentQueue.push_back({ std::move(command), pending });
         return;
     }
-    appendDocument(std::move(command), waiting, now);
+    appendDocument(std::move(command), pending, now);
 }
 
-void ControllerLogic::appendDocument(DocumentCommand command, Waiting waiting, Instant now)
+void ControllerLogic::appendDocument(DocumentCommand command, PendingProposal pending, Instant now)
 {
     const auto& document = m_state.document();
     if (command.base && command.version > document.version() && command.base != document.version()) {
         ProposeReply answer;
         answer.code = ResultCode::ConfigUnavailable;
         answer.text = "the change was made against another version than the leader's";
-        return reply(waiting, std::move(answer));
+        return reply(pending, std::move(answer));
     }
     if (!command.base || command.version <= document.version())
         command = document.commandFor(command.version, command.text);
-    append(std::move(command), waiting, now);
+    append(std::move(command), pending, now);
 }
 
 void ControllerLogic::proposeQueuedDocuments(Instant now)
@@ -182,18 +182,18 @@
     while (!m_documentQueue.empty() && !m_raft.hasUnappliedDocument()) {
         auto next = std::move(m_documentQueue.front());
         m_documentQueue.pop_front();
-        appendDocument(std::move(next.command), next.waiting, now);
+        appendDocument(std::move(next.command), next.pending, now);
     }
-    take(m_raft.flush(now), now);
+    handleRaftEffects(m_raft.flush(now), now);
 }
 
-void ControllerLogic::append(Command command, Waiting waiting, Instant now)
+void ControllerLogic::append(Command command, PendingProposal pending, Instant now)
 {
     Raft::Effects effects;
     auto index = m_raft.propose(std::move(command), effects);
-    waiting.term = m_raft.term();
-    m_waiting[index] = waiting;
-    take(std::move(effects), now);
+    pending.term = m_raft.term();
+    m_pendingProposals[index] = pending;
+    handleRaftEffects(std::move(effects), now);
 }
 
 ProposeReply ControllerLogic::notLeader() const
@@ -206,23 +206,23 @@
     return reply;
 }
 
-void ControllerLogic::reply(const Waiting& waiting, ProposeReply reply)
+void ControllerLogic::reply(const PendingProposal& pending, ProposeReply reply)
 {
-    reply.proposal = waiting.proposal;
-    if (waiting.isLocal)
-        m_effects.push_back(controller::LocalReply { waiting.proposal, std::move(reply) });
+    reply.proposal = pending.proposal;
+    if (pending.isLocal)
+        m_effects.push_back(controller::LocalReply { pending.proposal, std::move(reply) });
     else
-        m_effects.push_back(controller::Send { waiting.peer, std::move(reply) });
+        m_effects.push_back(controller::Send { pending.peer, std::move(reply) });
 }
 
 /// Leadership is gone: what was proposed may or may not be committed by the next leader. The proposers ask again; every
 /// command is idempotent.
-void ControllerLogic::refuseAllWaiting()
+void ControllerLogic::rejectPendingProposals()
 {
-    for (const auto& [index, waiting] : std::exchange(m_waiting, {}))
-        reply(waiting, notLeader());
+    for (const auto& [index, pending] : std::exchange(m_pendingProposals, {}))
+        reply(pending, notLeader());
     for (const auto& queued : std::exchange(m_documentQueue, {}))
-        reply(queued.waiting, notLeader());
+        reply(queued.pending, notLeader());
 }
 
 // --- Linearizable reads and the routing document ------------------------------------------------------------------
@@ -247,8 +247,8 @@
     }
     Raft::Effects effects;
     auto ticket = m_raft.requestRead(effects, now);
-    m_readers[ticket].push_back({ peer, read.ticket });
-    take(std::move(effects), now);
+    m_readRequesters[ticket].push_back({ peer, read.ticket });
+    handleRaftEffects(std::move(effects), now);
 }
 
 void ControllerLogic::onReadIndexReply(const ReadIndexReply& answer)
@@ -259,10 +259,10 @@
         reply({ 0, {}, answer.ticket, true }, notLeader());
 }
 
-void ControllerLogic::confirmReaders(std::uint64_t ticket)
+void ControllerLogic::confirmReads(std::uint64_t ticket)
 {
-    auto it = m_readers.find(ticket);
-    if (it == m_readers.end())
+    auto it = m_readRequesters.find(ticket);
+    if (it == m_readRequesters.end())
         return;
     auto index = m_raft.commitIndex();
     for (const auto& reader : it->second) {
@@ -271,12 +271,12 @@
         else
             m_effects.push_back(controller::Send { reader.peer, ReadIndexReply { reader.ticket, true, index } });
     }
-    m_readers.erase(it);
+    m_readRequesters.erase(it);
 }
 
-void ControllerLogic::refuseReaders()
+void ControllerLogic::rejectReads()
 {
-    for (const auto& [ticket, readers] : std::exchange(m_readers, {})) {
+    for (const auto& [ticket, readers] : std::exchange(m_readRequesters, {})) {
         for (const auto& reader : readers) {
             if (reader.peer == PeerId())
                 reply({ 0, {}, reader.ticket, true }, notLeader());
@@ -312,22 +312,22 @@
     auto& watcher = m_watchers[peer];
     watcher.peer = m_peers[peer];
     watcher.peer.id = peer;
-    watcher.sent = watch.have;
+    watcher.sentVersion = watch.version;
     watcher.askedAt = now;
     // A process that knows nothing takes whatever we say for the newest, and may have known better before its restart.
-    watcher.isWaiting = watcher.needsConfirmation = watch.have == ConfigVersion();
+    watcher.awaitsFirstSnapshot = watcher.needsConfirmation = watch.version == ConfigVersion();
     watcher.ticket = 0;
-    if (watcher.isWaiting)
+    if (watcher.awaitsFirstSnapshot)
         confirmWatchers(now);
     else
-        bringUpToDate(watcher);
+        sendMissingChanges(watcher);
 }
 
 /// As the leader, has a majority confirm that our version is the newest, for those who asked from nothing.
 void ControllerLogic::confirmWatchers(Instant now)
 {
-    auto asksAnew = [](const auto& item) { return item.second.needsConfirmation && !item.second.ticket; };
-    if (!m_raft.isLeader() || std::none_of(m_watchers.begin(), m_watchers.end(), asksAnew))
+    auto needsRead = [](const auto& item) { return item.second.needsConfirmation && !item.second.ticket; };
+    if (!m_raft.isLeader() || std::none_of(m_watchers.begin(), m_watchers.end(), needsRead))
         return;
     // One read answers all who asked before it.
     Raft::Effects effects;
@@ -336,7 +336,7 @@
         if (watcher.needsConfirmation && !watcher.ticket)
             watcher.ticket = ticket;
     }
-    take(std::move(effects), now);
+    handleRaftEffects(std::move(effects), now);
 }
 
 void ControllerLogic::onReadReady(std::uint64_t ticket)
@@ -344,16 +344,16 @@
     for (auto& [peer, watcher] : m_watchers) {
         if (watcher.ticket != ticket)
             continue;
-        watcher.isWaiting = watcher.needsConfirmation = false;
+        watcher.awaitsFirstSnapshot = watcher.needsConfirmation = false;
         watcher.ticket = 0;
         auto snapshot = m_state.configuration().snapshot();
         snapshot.confirmed = true;
         m_effects.push_back(controller::Send { peer, std::move(snapshot) });
-        watcher.sent = m_state.configuration().version();
+        watcher.sentVersion = m_state.configuration().version();
     }
 }
 
-void ControllerLogic::onInForce(PeerId peer, const InForce& message, Instant now)
+void ControllerLogic::onInForce(PeerId peer, const ConfigApplied& message, Instant now)
 {
     auto it = m_watchers.find(peer);
     if (it == m_watchers.end())
@@ -365,15 +365,16 @@
     }
 }
 
-void ControllerLogic::bringUpToDate(Watcher& watcher)
+void ControllerLogic::sendMissingChanges(Watcher& watcher)
 {
     const auto& configuration = m_state.configuration();
-    if (watcher.sent >= configuration.version())
+    if (watcher.sentVersion >= configuration.version())
         return;
     auto to = watcher.peer.id;
     const auto& history = m_state.history();
-    auto it = std::find_if(history.begin(), history.end(), [&](const ConfigChange& change) { return change.previous == watcher.sent; });
-    if (watcher.sent == ConfigVersion() || it == history.end()) {
+    auto it
+        = std::find_if(history.begin(), history.end(), [&](const ConfigChange& change) { return change.previous == watcher.sentVersion; });
+    if (watcher.sentVersion == ConfigVersion() || it == history.end()) {
         m_effects.push_back(controller::Send { to, configuration.snapshot() });
     } else {
         for (; it != history.end(); ++it) {
@@ -382,22 +383,22 @@
                 controller::Send { to, ConfigDelta { it->previous, it->version, command.number, command.puts, command.removes } });
         }
     }
-    watcher.sent = configuration.version();
+    watcher.sentVersion = configuration.version();
 }
 
-void ControllerLogic::bringAllUpToDate(Instant now)
+void ControllerLogic::sendMissingChangesToAll(Instant now)
 {
     for (auto& [peer, watcher] : m_watchers) {
-        if (watcher.isWaiting && now - watcher.askedAt < othersAnswerAfter)
+        if (watcher.awaitsFirstSnapshot && now - watcher.askedAt < unconfirmedReplyDelay)
             continue;
-        watcher.isWaiting = false;
-        bringUpToDate(watcher);
+        watcher.awaitsFirstSnapshot = false;
+        sendMissingChanges(watcher);
     }
 }
 
 // --- The log ----------------------------------------------------------------------------------------------------
 
-void ControllerLogic::take(Raft::Effects effects, Instant now)
+void ControllerLogic::handleRaftEffects(Raft::Effects effects, Instant now)
 {
     for (auto& effect : effects) {
         if (auto* persist = std::get_if<raft::Persist>(&effect)) {
@@ -408,7 +409,7 @@
             if (auto it = m_byName.find(send->to); it != m_byName.end())
                 m_effects.push_back(controller::Send { it->second, std::move(send->message) });
         } else if (auto* apply = std::get_if<raft::Apply>(&effect)) {
-            applied(apply->entry, now);
+            onApplied(apply->entry, now);
         } else if (auto* restore = std::get_if<raft::Restore>(&effect)) {
             if (!m_state.load(restore->snapshot.bytes))
                 internalError("a snapshot that passed its checksum can't be read");
@@ -417,38 +418,38 @@
         } else if (auto* changed = std::get_if<raft::LeaderChanged>(&effect)) {
             for (auto& [peer, watcher] : m_watchers)
                 watcher.ticket = 0;
-            refuseReaders();
+            rejectReads();
             if (!changed->isSelf)
-                refuseAllWaiting();
+                rejectPendingProposals();
         } else if (auto* ready = std::get_if<raft::ReadReady>(&effect)) {
             onReadReady(ready->ticket);
-            confirmReaders(ready->ticket);
-        } else if (auto* note = std::get_if<Note>(&effect)) {
+            confirmReads(ready->ticket);
+        } else if (auto* note = std::get_if<LogEvent>(&effect)) {
             m_effects.push_back(std::move(*note));
         }
     }
 }
 
-void ControllerLogic::applied(const LogEntry& entry, Instant now)
+void ControllerLogic::onApplied(const LogEntry& entry, Instant now)
 {
     auto before = m_state.configuration().version();
     auto answer = m_state.apply(entry);
     if (std::holds_alternative<ConfigCommand>(entry.command)) {
         bool accepted = answer.code == ResultCode::Ok;
-        m_effects.push_back(Note { accepted ? EventCode::ConfigAccepted : EventCode::ConfigRefused, {},
+        m_effects.push_back(LogEvent { accepted ? EventCode::ConfigAccepted : EventCode::ConfigRefused, {},
             accepted ? "version " + std::to_string(answer.number) : answer.text });
     }
     if (const auto* document = std::get_if<DocumentCommand>(&entry.command); document && answer.number == document->version)
-        m_effects.push_back(Note { EventCode::DocumentInForce, {}, "version " + std::to_string(document->version) });
+        m_effects.push_back(LogEvent { EventCode::DocumentInForce, {}, "version " + std::to_string(document->version) });
     if (std::holds_alternative<ReplaceDiskCommand>(entry.command))
-        m_effects.push_back(Note { EventCode::DiskReplaced, {}, std::get<ReplaceDiskCommand>(entry.command).name });
-    if (auto it = m_waiting.find(entry.index); it != m_waiting.end()) {
+        m_effects.push_back(LogEvent { EventCode::DiskReplaced, {}, std::get<ReplaceDiskCommand>(entry.command).name });
+    if (auto it = m_pendingProposals.find(entry.index); it != m_pendingProposals.end()) {
         // Another leader's entry may have taken the place of the one that was proposed here.
         reply(it->second, it->second.term == entry.term ? std::move(answer) : notLeader());
-        m_waiting.erase(it);
+        m_pendingProposals.erase(it);
     }
     if (m_state.configuration().version() != before)
-        bringAllUpToDate(now);
+        sendMissingChangesToAll(now);
 }
 
 std::string ControllerLogic::leaderAdminAddress() const
--- a/src/version/ControllerLogic.h
+++ b/src/version/ControllerLogic.h
@@ -20,15 +20,15 @@
 namespace controller {
 
     // Events.
-    using wrenhinge::FromPeer;
     using wrenhinge::PeerDown;
+    using wrenhinge::PeerMessage;
     using wrenhinge::PeerUp;
     /// A proposal from this process itself, such as the admin server's. The reply is a LocalReply.
     struct LocalPropose {
         std::uint64_t ticket = 0;
         Command command;
         /// Another controller that leads gets the whole text, not a change of the version here, which it had overtaken several times.
-        bool isWhole = false;
+        bool sendsWholeText = false;
     };
     /// A linearizable read from this process itself. The reply is a LocalReply; its code is Ok once the state held here is new
     /// enough to answer from.
@@ -36,7 +36,7 @@
         std::uint64_t ticket = 0;
     };
     struct Tick { };
-    using Event = std::variant<PeerUp, PeerDown, FromPeer, LocalPropose, LocalRead, Tick>;
+    using Event = std::variant<PeerUp, PeerDown, PeerMessage, LocalPropose, LocalRead, Tick>;
 
     // Effects. Persist and SaveSnapshot must be durable before any later effect is carried out.
     struct Send {
@@ -47,7 +47,7 @@
         std::uint64_t ticket = 0;
         ProposeReply reply;
     };
-    using Effect = std::variant<raft::Persist, raft::SaveSnapshot, Send, LocalReply, Note>;
+    using Effect = std::variant<raft::Persist, raft::SaveSnapshot, Send, LocalReply, LogEvent>;
 
 } // namespace controller
 
@@ -56,19 +56,19 @@
     using Effects = std::vector<controller::Effect>;
 
     /// The log is compacted when it holds more entries than this, or more bytes of routing documents.
-    static constexpr std::size_t compactAbove = 4096;
+    static constexpr std::size_t compactAboveEntries = 4096;
     /// Documents are in the log as changes; only a large one that is new altogether takes its whole size, up to a megabyte.
     static constexpr std::size_t compactAboveBytes = 4u << 20;
     /// A process that knows no configuration is answered at once only by a leader that a majority confirms; any other
     /// controller may be behind or cut off and lets it wait this long for a better answer.
-    static constexpr Duration othersAnswerAfter = 2s;
+    static constexpr Duration unconfirmedReplyDelay = 2s;
 
     struct Watcher {
         Hello peer;
-        ConfigVersion sent;
+        ConfigVersion sentVersion;
         ConfigVersion inForce;
         Instant inForceSince;
-        bool isWaiting = false; ///< Asked from nothing and has no answer yet.
+        bool awaitsFirstSnapshot = false; ///< Asked from nothing and has no answer yet.
         bool needsConfirmation = false; ///< Asked from nothing and no leader has confirmed its version yet.
         std::uint64_t ticket = 0; ///< The read that will confirm it; zero: none is under way.
         Instant askedAt;
@@ -87,14 +87,14 @@
     [[nodiscard]] std::string leaderAdminAddress() const;
 
 private:
-    struct Waiting {
+    struct PendingProposal {
         std::uint64_t term = 0;
         PeerId peer;
         std::uint64_t proposal = 0;
         bool isLocal = false;
     };
     /// Who waits for a read round of this leader: a peer, or this process itself.
-    struct Reader {
+    struct ReadRequester {
         PeerId peer;
         std::uint64_t ticket = 0;
     };
@@ -106,39 +106,39 @@
     /// A document that waits until the one before it is applied: it is then made a change of that one.
     struct QueuedDocument {
         DocumentCommand command;
-        Waiting waiting;
+        PendingProposal pending;
     };
 
     void on(const controller::PeerUp&, Instant);
     void on(const controller::PeerDown&, Instant);
-    void on(const controller::FromPeer&, Instant);
+    void on(const controller::PeerMessage&, Instant);
     void on(const controller::LocalPropose&, Instant);
     void on(const controller::LocalRead&, Instant);
     void on(const controller::Tick&, Instant);
     void onReadIndex(PeerId, const ReadIndex&, Instant);
     void onReadIndexReply(const ReadIndexReply&);
-    void confirmReaders(std::uint64_t ticket);
-    void refuseReaders();
+    void confirmReads(std::uint64_t ticket);
+    void rejectReads();
     void answerPendingReads();
     void offerDocument(Instant);
-    void proposeDocument(DocumentCommand, Waiting, Instant);
-    void appendDocument(DocumentCommand, Waiting, Instant);
+    void proposeDocument(DocumentCommand, PendingProposal, Instant);
+    void appendDocument(DocumentCommand, PendingProposal, Instant);
     void proposeQueuedDocuments(Instant);
-    void append(Command, Waiting, Instant);
+    void append(Command, PendingProposal, Instant);
     [[nodiscard]] PeerId leaderPeer() const;
-    void propose(Command, Waiting, Instant);
+    void propose(Command, PendingProposal, Instant);
     void onWatch(PeerId, const Watch&, Instant);
-    void onInForce(PeerId, const InForce&, Instant);
+    void onInForce(PeerId, const ConfigApplied&, Instant);
     void confirmWatchers(Instant);
     void onReadReady(std::uint64_t ticket);
-    void bringUpToDate(Watcher&);
-    void bringAllUpToDate(Instant);
-    void take(Raft::Effects, Instant);
-    void applied(const LogEntry&, Instant);
-    void refuseAllWaiting();
-    void reply(const Waiting&, ProposeReply);
+    void sendMissingChanges(Watcher&);
+    void sendMissingChangesToAll(Instant);
+    void handleRaftEffects(Raft::Effects, Instant);
+    void onApplied(const LogEntry&, Instant);
+    void rejectPendingProposals();
+    void reply(const PendingProposal&, ProposeReply);
     [[nodiscard]] ProposeReply notLeader() const;
-    [[nodiscard]] const Hello* memberAt(PeerId) const;
+    [[nodiscard]] const Hello* controllerAt(PeerId) const;
 
     raft::Settings m_settings;
     Raft m_raft;
@@ -146,9 +146,9 @@
     std::map<PeerId, Hello> m_peers;
     std::map<std::string, PeerId> m_byName;
     std::map<PeerId, Watcher> m_watchers;
-    std::map<std::uint64_t, Waiting> m_waiting; ///< By log index.
+    std::map<std::uint64_t, PendingProposal> m_pendingProposals; ///< By log index.
     std::set<std::uint64_t> m_forwarded; ///< Tickets of this process's proposals and reads that the leader was asked for.
-    std::map<std::uint64_t, std::vector<Reader>> m_readers; ///< By the read's ticket at the log.
+    std::map<std::uint64_t, std::vector<ReadRequester>> m_readRequesters; ///< By the read's ticket at the log.
     std::vector<PendingRead> m_pendingReads;
     DocumentSource m_documentSource;
     std::deque<QueuedDocument> m_documentQueue;
--- a/src/version/ControllerState.cpp
+++ b/src/version/ControllerState.cpp
@@ -84,14 +84,14 @@
 ProposeReply ControllerState::applyCommand(const IntentCommand& command, std::uint64_t)
 {
     ProposeReply reply;
-    reply.ledger = m_ledger.intend(command);
+    reply.ledger = m_ledger.recordIntent(command);
     return reply;
 }
 
 ProposeReply ControllerState::applyCommand(const OutcomeCommand& command, std::uint64_t)
 {
     ProposeReply reply;
-    reply.ledger = m_ledger.conclude(command);
+    reply.ledger = m_ledger.recordOutcome(command);
     return reply;
 }
 
@@ -118,7 +118,7 @@
 ProposeReply ControllerState::applyCommand(const DocumentCommand& command, std::uint64_t)
 {
     ProposeReply reply;
-    if (m_document.apply(command) == DocumentHistory::Outcome::OtherBase) {
+    if (m_document.apply(command) == DocumentHistory::Outcome::BaseMismatch) {
         // Another document was committed between its making and its commitment; its author's text is taken anew.
         reply.code = ResultCode::ConfigUnavailable;
         reply.text = "the change was made against version " + std::to_string(command.base) + ", version "
--- a/src/version/DiskFile.cpp
+++ b/src/version/DiskFile.cpp
@@ -15,39 +15,39 @@
 
     /// Opens each record, so that a search for whole records behind a torn one tries few places: trying every byte as a length
     /// hashes the rest of the log thousands of times, and a controller that restarts after a power loss took minutes.
-    constexpr std::string_view recordMark = "WhLg";
-    static_assert(recordHeaderBytes == recordMark.size() + sizeof(std::uint32_t) + sizeof(std::uint64_t));
-    constexpr std::uint32_t largestRecord = 256u << 20;
+    constexpr std::string_view recordMagic = "WhLg";
+    static_assert(recordHeaderBytes == recordMagic.size() + sizeof(std::uint32_t) + sizeof(std::uint64_t));
+    constexpr std::uint32_t maxRecordBytes = 256u << 20;
 
 } // namespace
 
 Error storageError(const std::string& what, const std::string& path)
 {
     bool isFull = errno == ENOSPC || errno == EDQUOT;
-    auto mend = isFull ? "; make room on the disk and restart" : "; check the disk and the folder's permissions";
-    return { isFull ? ResultCode::StorageFull : ResultCode::StorageFailed, what + " " + path + ": " + std::strerror(errno) + mend };
+    auto remedy = isFull ? "; make room on the disk and restart" : "; check the disk and the folder's permissions";
+    return { isFull ? ResultCode::StorageFull : ResultCode::StorageFailed, what + " " + path + ": " + std::strerror(errno) + remedy };
 }
 
-std::string sealRecord(const std::string& payload)
+std::string encodeRecord(const std::string& payload)
 {
     std::string bytes(recordHeaderBytes, '\0');
     auto length = static_cast<std::uint32_t>(payload.size());
     auto checksum = static_cast<std::uint64_t>(XXH3_64bits(payload.data(), payload.size()));
-    std::memcpy(bytes.data(), recordMark.data(), recordMark.size());
-    std::memcpy(bytes.data() + recordMark.size(), &length, sizeof length);
-    std::memcpy(bytes.data() + recordMark.size() + sizeof length, &checksum, sizeof checksum);
+    std::memcpy(bytes.data(), recordMagic.data(), recordMagic.size());
+    std::memcpy(bytes.data() + recordMagic.size(), &length, sizeof length);
+    std::memcpy(bytes.data() + recordMagic.size() + sizeof length, &checksum, sizeof checksum);
     return bytes + payload;
 }
 
 std::optional<std::string_view> recordAt(std::string_view bytes, std::size_t at)
 {
-    if (bytes.size() - at < recordHeaderBytes || bytes.substr(at, recordMark.size()) != recordMark)
+    if (bytes.size() - at < recordHeaderBytes || bytes.substr(at, recordMagic.size()) != recordMagic)
         return std::nullopt;
     std::uint32_t length = 0;
     std::uint64_t checksum = 0;
-    std::memcpy(&length, bytes.data() + at + recordMark.size(), sizeof length);
-    std::memcpy(&checksum, bytes.data() + at + recordMark.size() + sizeof length, sizeof checksum);
-    if (!length || length > largestRecord || bytes.size() - at - recordHeaderBytes < length)
+    std::memcpy(&length, bytes.data() + at + recordMagic.size(), sizeof length);
+    std::memcpy(&checksum, bytes.data() + at + recordMagic.size() + sizeof length, sizeof checksum);
+    if (!length || length > maxRecordBytes || bytes.size() - at - recordHeaderBytes < length)
         return std::nullopt;
     auto payload = bytes.substr(at + recordHeaderBytes, length);
     if (XXH3_64bits(payload.data(), payload.size()) != checksum)
@@ -57,7 +57,7 @@
 
 bool hasRecordAfter(std::string_view bytes, std::size_t at)
 {
-    for (auto i = bytes.find(recordMark, at + 1); i != std::string_view::npos; i = bytes.find(recordMark, i + 1)) {
+    for (auto i = bytes.find(recordMagic, at + 1); i != std::string_view::npos; i = bytes.find(recordMagic, i + 1)) {
         if (recordAt(bytes, i))
             return true;
     }
--- a/src/version/DiskFile.h
+++ b/src/version/DiskFile.h
@@ -20,7 +20,7 @@
 /// The error of the system call that has just failed.
 Error storageError(const std::string& what, const std::string& path);
 
-std::string sealRecord(const std::string& payload);
+std::string encodeRecord(const std::string& payload);
 /// The payload of the record at `at`, or nothing if there is no whole, undamaged one.
 std::optional<std::string_view> recordAt(std::string_view bytes, std::size_t at);
 /// Whether a whole record begins behind `at`.
--- a/src/version/DocumentFollower.cpp
+++ b/src/version/DocumentFollower.cpp
@@ -12,13 +12,13 @@
 {
     std::visit([this, now](const auto& e) { on(e, now); }, event);
     if (!m_transfer)
-        askAnyone(now);
+        startTransfer(now);
     return std::exchange(m_effects, {});
 }
 
-Instant DocumentFollower::nextWake() const { return m_transfer ? m_transfer->askedAt + m_patience : Instant::max(); }
+Instant DocumentFollower::nextWake() const { return m_transfer ? m_transfer->askedAt + m_replyTimeout : Instant::max(); }
 
-void DocumentFollower::on(const FromPeer& event, Instant now)
+void DocumentFollower::on(const PeerMessage& event, Instant now)
 {
     if (const auto* offer = std::get_if<DocumentOffer>(&event.message))
         onOffer(event.peer, *offer);
@@ -35,9 +35,9 @@
 
 void DocumentFollower::on(const Tick&, Instant now)
 {
-    if (!m_transfer || now < m_transfer->askedAt + m_patience)
+    if (!m_transfer || now < m_transfer->askedAt + m_replyTimeout)
         return;
-    giveUp();
+    abandonTransfer();
 }
 
 void DocumentFollower::onOffer(PeerId peer, const DocumentOffer& offer)
@@ -45,8 +45,8 @@
     m_offers[peer] = offer.version;
     if (!offer.isCurrent)
         return;
-    m_newest = std::max(m_newest, offer.version);
-    if (m_version && m_version >= m_newest)
+    m_newestOffered = std::max(m_newestOffered, offer.version);
+    if (m_version && m_version >= m_newestOffered)
         m_effects.push_back(Confirm { m_version });
 }
 
@@ -56,9 +56,9 @@
         return;
     auto& transfer = *m_transfer;
     if (transfer.from != peer || part.base != transfer.request.held)
-        return cameLate();
-    if (part.bytes.empty() || part.total > longestTransfer)
-        return giveUp();
+        return extendReplyTimeout();
+    if (part.bytes.empty() || part.total > maxTransferBytes)
+        return abandonTransfer();
     // The controller may begin with something newer than what was asked for.
     if (part.offset == 0 && part.version > transfer.request.version) {
         transfer.request.version = part.version;
@@ -66,7 +66,7 @@
     }
     // An answer that had been given up on may still come beside the one to the second request.
     if (part.version != transfer.request.version || part.offset != transfer.bytes.size())
-        return cameLate();
+        return extendReplyTimeout();
     transfer.bytes += part.bytes;
     if (transfer.bytes.size() >= part.total)
         return finish();
@@ -78,20 +78,20 @@
 {
     auto transfer = std::move(*m_transfer);
     m_transfer.reset();
-    m_patience = answerLimit;
+    m_replyTimeout = replyTimeout;
     auto steps = decodeValue<std::vector<DocumentStep>>(transfer.bytes);
     if (!steps || !apply(*steps)) {
         // Never seen; without this a text that differs from the controllers' would stay until a restart.
-        m_effects.push_back(Note { EventCode::DocumentRefused, {},
+        m_effects.push_back(LogEvent { EventCode::DocumentRefused, {},
             "the steps from version " + std::to_string(transfer.request.held) + " to " + std::to_string(transfer.request.version)
                 + " don't fit; the whole is asked for" });
         m_needsWhole = true;
-        m_avoided = transfer.from;
+        m_lastFailed = transfer.from;
         return;
     }
     m_needsWhole = false;
-    m_avoided = {};
-    m_effects.push_back(Take { m_version, m_text, m_newest && m_version >= m_newest });
+    m_lastFailed = {};
+    m_effects.push_back(Install { m_version, m_text, m_newestOffered && m_version >= m_newestOffered });
 }
 
 bool DocumentFollower::apply(const std::vector<DocumentStep>& steps)
@@ -114,7 +114,7 @@
     return true;
 }
 
-void DocumentFollower::askAnyone(Instant now)
+void DocumentFollower::startTransfer(Instant now)
 {
     std::uint64_t newest = 0;
     for (const auto& [peer, version] : m_offers)
@@ -123,25 +123,25 @@
         return;
     std::vector<PeerId> peers;
     for (const auto& [peer, version] : m_offers) {
-        if (version == newest && peer != m_avoided)
+        if (version == newest && peer != m_lastFailed)
             peers.push_back(peer);
     }
     if (peers.empty())
-        peers.push_back(m_avoided);
+        peers.push_back(m_lastFailed);
     auto chosen = std::uniform_int_distribution<std::size_t>(0, peers.size() - 1)(m_random);
     m_transfer = Transfer { peers[chosen], { newest, m_needsWhole ? 0 : m_version, 0 }, {}, now };
     ask(peers[chosen], m_transfer->request, now);
 }
 
 /// Another controller is asked, if another offers as much.
-void DocumentFollower::giveUp()
+void DocumentFollower::abandonTransfer()
 {
-    m_avoided = m_transfer->from;
+    m_lastFailed = m_transfer->from;
     m_transfer.reset();
 }
 
 /// Whoever had been asked was not gone: links are slower than was waited for.
-void DocumentFollower::cameLate() { m_patience = std::min(m_patience * 2, longestPatience); }
+void DocumentFollower::extendReplyTimeout() { m_replyTimeout = std::min(m_replyTimeout * 2, maxReplyTimeout); }
 
 void DocumentFollower::ask(PeerId to, DocumentRequest request, Instant now)
 {
--- a/src/version/DocumentFollower.h
+++ b/src/version/DocumentFollower.h
@@ -27,11 +27,11 @@
 
 namespace document {
 
-    // Events. FromPeer's message is a DocumentOffer or a DocumentPart; others are passed by.
-    using wrenhinge::FromPeer;
+    // Events. PeerMessage's message is a DocumentOffer or a DocumentPart; others are passed by.
     using wrenhinge::PeerDown;
+    using wrenhinge::PeerMessage;
     struct Tick { };
-    using Event = std::variant<FromPeer, PeerDown, Tick>;
+    using Event = std::variant<PeerMessage, PeerDown, Tick>;
 
     // Effects.
     struct Ask {
@@ -39,7 +39,7 @@
         DocumentRequest request;
     };
     /// A newer version is held.
-    struct Take {
+    struct Install {
         std::uint64_t version = 0;
         std::shared_ptr<const std::string> text;
         bool isCurrent = false; ///< As new as what was once offered as the newest since this process started.
@@ -48,7 +48,7 @@
     struct Confirm {
         std::uint64_t version = 0;
     };
-    using Effect = std::variant<Ask, Take, Confirm, Note>;
+    using Effect = std::variant<Ask, Install, Confirm, LogEvent>;
 
 } // namespace document
 
@@ -58,12 +58,12 @@
 
     /// A controller that does not answer for this long may be gone; another one is asked. Parts of 64 KB take 52 ms on a link of 10 Mbit/s;
     /// 29 gateways that ask one controller at once, on 100 Mbit/s, wait for 150 ms.
-    static constexpr Duration answerLimit = 1s;
+    static constexpr Duration replyTimeout = 1s;
     /// Each answer that comes after its controller was given up doubles the limit, up to this, until a transfer is whole. With one limit
     /// a gateway whose answers take longer begins anew for ever, and what it asks for in vain fills its link.
-    static constexpr Duration longestPatience = 8s;
+    static constexpr Duration maxReplyTimeout = 8s;
     /// A longer document is none.
-    static constexpr std::size_t longestTransfer = 64u << 20;
+    static constexpr std::size_t maxTransferBytes = 64u << 20;
 
     /// \param seed spreads the gateways over the controllers.
     explicit DocumentFollower(std::uint64_t seed)
@@ -84,25 +84,25 @@
         Instant askedAt;
     };
 
-    void on(const document::FromPeer&, Instant);
+    void on(const document::PeerMessage&, Instant);
     void on(const document::PeerDown&, Instant);
     void on(const document::Tick&, Instant);
     void onOffer(PeerId, const DocumentOffer&);
     void onPart(PeerId, const DocumentPart&, Instant);
-    void askAnyone(Instant);
-    void giveUp();
-    void cameLate();
+    void startTransfer(Instant);
+    void abandonTransfer();
+    void extendReplyTimeout();
     void ask(PeerId, DocumentRequest, Instant);
     void finish();
     bool apply(const std::vector<DocumentStep>&);
 
     std::uint64_t m_version = 0;
     std::shared_ptr<const std::string> m_text = std::make_shared<const std::string>();
-    std::uint64_t m_newest = 0; ///< The highest version that was offered as the newest.
+    std::uint64_t m_newestOffered = 0; ///< The highest version that was offered as the newest.
     std::map<PeerId, std::uint64_t> m_offers;
     std::optional<Transfer> m_transfer;
-    Duration m_patience = answerLimit;
-    PeerId m_avoided; ///< It did not answer, or not what was asked; asked again only if there is no other.
+    Duration m_replyTimeout = replyTimeout;
+    PeerId m_lastFailed; ///< It did not answer, or not what was asked; asked again only if there is no other.
     bool m_needsWhole = false; ///< Steps did not fit what is held here.
     std::mt19937_64 m_random;
     Effects m_effects;
--- a/src/version/DocumentHistory.cpp
+++ b/src/version/DocumentHistory.cpp
@@ -7,30 +7,30 @@
 namespace {
 
     /// Changes are kept while they take up to this part of the text: whoever lacks more than that is as well served by the whole.
-    constexpr std::size_t partOfTextKept = 2;
+    constexpr std::size_t textToStepsRatio = 2;
     /// Each change is applied by a copy of the text and a look at all of it: some 0.2 ms of a core for a megabyte. Thousands of small ones,
     /// which the bound above allows, would hold a gateway up for seconds.
-    constexpr std::size_t mostStepsKept = 64;
+    constexpr std::size_t maxStepsKept = 64;
 
 } // namespace
 
 DocumentHistory::Outcome DocumentHistory::apply(const DocumentCommand& command)
 {
     if (command.version <= m_version)
-        return Outcome::Overtaken;
+        return Outcome::Stale;
     if (command.base) {
         auto text = command.base == m_version ? applyChange(m_text, command.change) : std::nullopt;
         if (!text)
-            return Outcome::OtherBase;
-        remember({ m_version, command.version, command.change });
+            return Outcome::BaseMismatch;
+        addStep({ m_version, command.version, command.change });
         m_text = std::move(*text);
     } else {
         if (m_version)
-            remember({ m_version, command.version, changeBetween(m_text, command.text) });
+            addStep({ m_version, command.version, changeBetween(m_text, command.text) });
         m_text = command.text;
     }
     m_version = command.version;
-    return Outcome::Taken;
+    return Outcome::Applied;
 }
 
 void DocumentHistory::restore(std::uint64_t version, std::string text)
@@ -41,11 +41,11 @@
     m_stepBytes = 0;
 }
 
-void DocumentHistory::remember(DocumentStep step)
+void DocumentHistory::addStep(DocumentStep step)
 {
     m_stepBytes += step.change.size();
     m_steps.push_back(std::move(step));
-    while (!m_steps.empty() && (m_stepBytes > m_text.size() / partOfTextKept || m_steps.size() > mostStepsKept)) {
+    while (!m_steps.empty() && (m_stepBytes > m_text.size() / textToStepsRatio || m_steps.size() > maxStepsKept)) {
         m_stepBytes -= m_steps.front().change.size();
         m_steps.pop_front();
     }
--- a/src/version/DocumentHistory.h
+++ b/src/version/DocumentHistory.h
@@ -23,9 +23,9 @@
 class DocumentHistory {
 public:
     enum class Outcome : std::uint8_t {
-        Taken,
-        Overtaken, ///< A version that is not higher changes nothing.
-        OtherBase, ///< It is a change of another text than the one here.
+        Applied,
+        Stale, ///< A version that is not higher changes nothing.
+        BaseMismatch, ///< It is a change of another text than the one here.
     };
 
     Outcome apply(const DocumentCommand&);
@@ -40,7 +40,7 @@
     [[nodiscard]] std::vector<DocumentStep> stepsFrom(std::uint64_t held) const;
 
 private:
-    void remember(DocumentStep);
+    void addStep(DocumentStep);
 
     std::uint64_t m_version = 0;
     std::string m_text;
--- a/src/version/DocumentSource.cpp
+++ b/src/version/DocumentSource.cpp
@@ -11,15 +11,15 @@
 
     /// A transfer under way is kept though newer versions come, or a slow link would begin anew with each of them and never end. A
     /// gateway may wait for an answer for its longest patience before it asks again.
-    constexpr Duration keepUnused = DocumentFollower::longestPatience + 1s;
+    constexpr Duration unusedTransferLifetime = DocumentFollower::maxReplyTimeout + 1s;
     /// Gateways that hold different versions ask for different transfers; the one unused for longest gives way.
-    constexpr std::size_t mostTransfers = 4;
+    constexpr std::size_t maxTransfers = 4;
 
 } // namespace
 
 std::vector<DocumentSource::AddressedOffer> DocumentSource::offers(const DocumentHistory& history, bool isCurrent, Instant now)
 {
-    forgetUnused(now);
+    dropUnusedTransfers(now);
     std::vector<AddressedOffer> list;
     if (!history.version())
         return list;
@@ -57,7 +57,7 @@
         it = find(history.version());
     if (it != m_transfers.end())
         return **it;
-    if (m_transfers.size() >= mostTransfers)
+    if (m_transfers.size() >= maxTransfers)
         m_transfers.erase(
             std::min_element(m_transfers.begin(), m_transfers.end(), [](const auto& a, const auto& b) { return a->usedAt < b->usedAt; }));
     m_transfers.push_back(
@@ -65,9 +65,9 @@
     return *m_transfers.back();
 }
 
-void DocumentSource::forgetUnused(Instant now)
+void DocumentSource::dropUnusedTransfers(Instant now)
 {
-    std::erase_if(m_transfers, [now](const auto& transfer) { return now - transfer->usedAt > keepUnused; });
+    std::erase_if(m_transfers, [now](const auto& transfer) { return now - transfer->usedAt > unusedTransferLifetime; });
 }
 
 } // namespace wrenhinge
--- a/src/version/DocumentSource.h
+++ b/src/version/DocumentSource.h
@@ -25,8 +25,8 @@
         DocumentOffer offer;
     };
 
-    void meet(PeerId gateway) { m_gateways[gateway] = {}; }
-    void lose(PeerId gateway) { m_gateways.erase(gateway); }
+    void addPeer(PeerId gateway) { m_gateways[gateway] = {}; }
+    void removePeer(PeerId gateway) { m_gateways.erase(gateway); }
     /// What gateways must be told now; called often, it also drops transfers that nobody asks for any more. \param isCurrent whether the
     /// document is the newest that a majority has accepted, as far as can be known here: a gateway that starts must not serve by one that
     /// was overtaken before, as a controller that is cut off may hold.
@@ -47,7 +47,7 @@
         Instant usedAt;
     };
     Transfer& transferFor(const DocumentRequest&, const DocumentHistory&, Instant now);
-    void forgetUnused(Instant now);
+    void dropUnusedTransfers(Instant now);
 
     std::map<PeerId, Gateway> m_gateways;
     std::vector<std::unique_ptr<Transfer>> m_transfers;
--- a/src/version/Ledger.cpp
+++ b/src/version/Ledger.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-LedgerView Ledger::intend(const IntentCommand& intent)
+LedgerView Ledger::recordIntent(const IntentCommand& intent)
 {
     auto [it, isNew] = m_entries.try_emplace(intent.key);
     auto& entry = it->second;
@@ -33,7 +33,7 @@
     return viewOf(entry, LedgerState::Accepted);
 }
 
-LedgerView Ledger::conclude(const OutcomeCommand& outcome)
+LedgerView Ledger::recordOutcome(const OutcomeCommand& outcome)
 {
     auto it = m_entries.find(outcome.key);
     if (it == m_entries.end())
--- a/src/version/Ledger.h
+++ b/src/version/Ledger.h
@@ -21,14 +21,14 @@
         PeerId sidecar;
         RequestId request;
         bool finished = false;
-        AdmissionState outcome = AdmissionState::Running;
-        KeptAnswer answer;
+        AttemptState outcome = AttemptState::Running;
+        StoredResponse answer;
         MSGPACK_DEFINE(fingerprint, attempt, sidecar, request, finished, outcome, answer)
     };
 
-    LedgerView intend(const IntentCommand&);
+    LedgerView recordIntent(const IntentCommand&);
     /// Records how an attempt ended; a late outcome of another attempt, or a second one, changes nothing.
-    LedgerView conclude(const OutcomeCommand&);
+    LedgerView recordOutcome(const OutcomeCommand&);
 
     [[nodiscard]] const std::unordered_map<std::string, Entry>& entries() const { return m_entries; }
     void restore(std::unordered_map<std::string, Entry> entries) { m_entries = std::move(entries); }
--- a/src/version/LogStorage.cpp
+++ b/src/version/LogStorage.cpp
@@ -25,7 +25,7 @@
     using Record = std::variant<raft::HardState, Truncation, LogEntry>;
     using Records = std::vector<Record>;
 
-    void take(raft::Recovered& recovered, Record record)
+    void applyRecord(raft::Recovered& recovered, Record record)
     {
         if (auto* hard = std::get_if<raft::HardState>(&record)) {
             recovered.hardState = *hard;
@@ -53,7 +53,7 @@
         ::close(m_log);
 }
 
-Result<raft::Recovered> LogStorage::open(const std::string& folder, DiskId freshDisk)
+Result<raft::Recovered> LogStorage::open(const std::string& folder, DiskId newDiskId)
 {
     m_folder = folder;
     m_batch->records.clear();
@@ -63,7 +63,7 @@
     std::filesystem::create_directories(folder, ec);
     if (ec)
         return Error { ResultCode::StorageFailed, "can't make " + folder + ": " + ec.message() + "; check the path in `controller.data`" };
-    if (auto identity = openIdentity(freshDisk); !identity)
+    if (auto identity = openIdentity(newDiskId); !identity)
         return identity.error();
     auto snapshot = readSnapshot();
     if (!snapshot)
@@ -83,7 +83,7 @@
     return recovered;
 }
 
-Result<void> LogStorage::openIdentity(DiskId freshDisk)
+Result<void> LogStorage::openIdentity(DiskId newDiskId)
 {
     auto path = pathOf("identity");
     if (std::filesystem::exists(path)) {
@@ -100,8 +100,8 @@
     if (std::filesystem::exists(pathOf("log")))
         return Error { ResultCode::StorageCorrupt,
             m_folder + " has a log but no identity; replace this controller's disk (docs/RECOVERY.md)" };
-    m_disk = freshDisk;
-    return replaceFile(m_folder, "identity", sealRecord(encodeValue(m_disk)));
+    m_disk = newDiskId;
+    return replaceFile(m_folder, "identity", encodeRecord(encodeValue(m_disk)));
 }
 
 Result<raft::Snapshot> LogStorage::readSnapshot()
@@ -145,12 +145,12 @@
             break;
         }
         for (auto& record : *records)
-            take(recovered, std::move(record));
+            applyRecord(recovered, std::move(record));
         at += recordHeaderBytes + payload->size();
     }
-    m_cutBytes = bytes.value().size() - at;
+    m_truncatedBytes = bytes.value().size() - at;
     m_logSize = at;
-    if (m_cutBytes && (::ftruncate(m_log, static_cast<off_t>(at)) != 0 || ::fsync(m_log) != 0))
+    if (m_truncatedBytes && (::ftruncate(m_log, static_cast<off_t>(at)) != 0 || ::fsync(m_log) != 0))
         return storageError("can't cut the torn end of", path);
     return recovered;
 }
@@ -168,7 +168,7 @@
 
 Result<void> LogStorage::writeRecord(const std::string& payload)
 {
-    auto bytes = sealRecord(payload);
+    auto bytes = encodeRecord(payload);
     auto written = writeAll(m_log, bytes, pathOf("log"));
     if (written) {
         m_logSize += bytes.size();
@@ -197,16 +197,16 @@
     // The log is read back below, so that it must hold all that was added.
     if (auto synced = sync(); !synced)
         return synced;
-    if (auto saved = replaceFile(m_folder, "snapshot", sealRecord(encodeValue(snapshot))); !saved)
+    if (auto saved = replaceFile(m_folder, "snapshot", encodeRecord(encodeValue(snapshot))); !saved)
         return saved;
     ::close(std::exchange(m_log, -1));
     auto recovered = readLog();
     if (!recovered)
         return recovered.error();
-    std::string bytes = sealRecord(encodeValue(Records { recovered.value().hardState }));
+    std::string bytes = encodeRecord(encodeValue(Records { recovered.value().hardState }));
     for (const auto& entry : recovered.value().entries) {
         if (entry.index > snapshot.lastIndex)
-            bytes += sealRecord(encodeValue(Records { entry }));
+            bytes += encodeRecord(encodeValue(Records { entry }));
     }
     ::close(std::exchange(m_log, -1));
     if (auto replaced = replaceFile(m_folder, "log", bytes); !replaced)
--- a/src/version/LogStorage.h
+++ b/src/version/LogStorage.h
@@ -30,8 +30,8 @@
     LogStorage(const LogStorage&) = delete;
     LogStorage& operator=(const LogStorage&) = delete;
 
-    /// Opens the folder, making it if need be; again, if it is open. \param freshDisk the identity to give a folder that has none.
-    Result<raft::Recovered> open(const std::string& folder, DiskId freshDisk);
+    /// Opens the folder, making it if need be; again, if it is open. \param newDiskId the identity to give a folder that has none.
+    Result<raft::Recovered> open(const std::string& folder, DiskId newDiskId);
     /// Adds records to the next write.
     void append(const raft::Persist&);
     /// Writes what was added as one record. Durable on return.
@@ -41,10 +41,10 @@
 
     [[nodiscard]] DiskId disk() const { return m_disk; }
     /// Bytes that were cut off the end of the log when it was opened.
-    [[nodiscard]] std::size_t cutBytes() const { return m_cutBytes; }
+    [[nodiscard]] std::size_t truncatedBytes() const { return m_truncatedBytes; }
 
 private:
-    Result<void> openIdentity(DiskId freshDisk);
+    Result<void> openIdentity(DiskId newDiskId);
     Result<raft::Recovered> readLog();
     Result<raft::Snapshot> readSnapshot();
     Result<void> writeRecord(const std::string& payload);
@@ -57,7 +57,7 @@
     int m_log = -1;
     std::uint64_t m_logSize = 0;
     DiskId m_disk;
-    std::size_t m_cutBytes = 0;
+    std::size_t m_truncatedBytes = 0;
 };
 
 } // namespace wrenhinge
--- a/src/version/MembershipPlan.h
+++ b/src/version/MembershipPlan.h
@@ -33,33 +33,33 @@
 
 /// A member that is silent for this long is replaced if a learner is at hand. Longer than a restart of a process (about a
 /// second), and short enough that both steps end well before a second loss is to be borne, 4 s after a repair.
-constexpr Duration silenceBeforeReplacing = 1800ms;
-/// A learner has caught up if it lacks at most this many entries and was heard of within `learnerHeardWithin`.
+constexpr Duration memberReplacementTimeout = 1800ms;
+/// A learner has caught up if it lacks at most this many entries and was heard of within `learnerContactTimeout`.
 constexpr std::uint64_t learnerLagLimit = 16;
-constexpr Duration learnerHeardWithin = 600ms;
+constexpr Duration learnerContactTimeout = 600ms;
 
 /// Another controller, as the leader sees it.
-struct Candidate {
+struct PeerStatus {
     std::string name;
     std::string zone; ///< Its availability zone; empty if it is not known.
     bool isLinked = false;
     bool isDiskless = false; ///< It keeps nothing, so it can't be a member.
-    bool counts = true; ///< Its disk is the registered one, and it knows that.
+    bool countsTowardsQuorum = true; ///< Its disk is the registered one, and it knows that.
     std::uint64_t match = 0; ///< The last log index that is known to be on its disk.
-    Duration silentFor {};
+    Duration sinceLastReply {};
 };
 
 /// What the leader decides from.
-struct View {
+struct ClusterView {
     std::vector<std::string> members;
     std::string self;
     std::string selfZone;
-    std::vector<Candidate> others;
+    std::vector<PeerStatus> peers;
     std::uint64_t commit = 0; ///< The leader's commit index.
-    std::size_t lossesToBear = 0; ///< Zero: the number of members stays.
+    std::size_t toleratedFailures = 0; ///< Zero: the number of members stays.
 };
 
 /// The next list of members, or nothing if the present one is right.
-std::optional<std::vector<std::string>> plan(const View&);
+std::optional<std::vector<std::string>> plan(const ClusterView&);
 
 } // namespace wrenhinge::membership
--- a/src/version/Raft.cpp
+++ b/src/version/Raft.cpp
@@ -26,12 +26,12 @@
     , m_applied(m_snapshot.lastIndex)
     , m_members(m_settings.members)
     , m_appliedMembers(m_settings.members)
-    , m_leaderHeardAt(now - 1h)
+    , m_leaderContactAt(now - 1h)
     , m_random(m_settings.seed)
 {
     m_zones[m_settings.self] = m_settings.zone;
     for (const auto& entry : m_entries)
-        noteEntry(entry);
+        applyMembership(entry);
     resetElectionTimer(now);
 }
 
@@ -78,7 +78,7 @@
 
 Instant Raft::nextWake() const { return isLeader() ? m_heartbeatDue : m_electionDue; }
 
-bool Raft::hasContact(Instant now) const { return isLeader() || now - m_leaderHeardAt < m_settings.electionTimeout; }
+bool Raft::hasLeaderContact(Instant now) const { return isLeader() || now - m_leaderContactAt < m_settings.electionTimeout; }
 
 // --- Election ---------------------------------------------------------------------------------------------------
 
@@ -92,7 +92,7 @@
     persistHardState();
 }
 
-bool Raft::counts(const std::string& member, DiskId disk) const
+bool Raft::hasValidDisk(const std::string& member, DiskId disk) const
 {
     auto it = m_disks.find(member);
     return it == m_disks.end() || it->second == disk || !m_settings.safeguards.countsOnlyKnownDisks;
@@ -102,9 +102,9 @@
 /// that was frozen while another was elected would commit with it, as one of the two of three that are left to it, what
 /// contradicts entries that the disk had acknowledged before it was wiped. Who knows the registration to be committed has heard
 /// of it from a leader that needed no such help.
-bool Raft::acknowledges(const std::string& member, const Progress& progress) const
+bool Raft::countsTowardsQuorum(const std::string& member, const Progress& progress) const
 {
-    return counts(member, progress.disk) && (progress.isVoter || !m_settings.safeguards.countsOnlyKnownDisks);
+    return hasValidDisk(member, progress.disk) && (progress.isVoter || !m_settings.safeguards.countsOnlyKnownDisks);
 }
 
 bool Raft::isUpToDate(std::uint64_t lastIndex, std::uint64_t lastTerm) const
@@ -123,7 +123,7 @@
 /// that these follow has had a heartbeat and more to show itself. After a power loss of the whole site gateways have no document
 /// until a leader is there: with a timeout of 500 ms it came 0.70 s after the controllers, and all that callers asked meanwhile was
 /// refused. A pre-vote that comes too early does no harm, since members that hear a leader refuse it.
-void Raft::hastenFirstElection(Instant now)
+void Raft::shortenFirstElectionTimeout(Instant now)
 {
     auto linked = std::count_if(m_members.begin(), m_members.end(), [this](const auto& member) { return m_linked.contains(member); });
     if (!m_isFirstElection || selfCount() + static_cast<std::size_t>(linked) < majority())
@@ -139,29 +139,29 @@
     m_leader.clear();
     if (!m_hard.isVoter || !isMember(m_settings.self)) {
         if (!m_settings.isDynamic)
-            m_effects.push_back(Note { EventCode::VoteWithheld, {}, "this disk is not registered yet" });
+            m_effects.push_back(LogEvent { EventCode::VoteWithheld, {}, "this disk is not registered yet" });
         return;
     }
-    m_standing = Standing::PreCandidate;
+    m_serverState = ServerState::PreCandidate;
     m_votes = { m_settings.self };
-    askForVotes(m_hard.term + 1, true);
+    requestVotes(m_hard.term + 1, true);
     if (m_votes.size() >= majority())
         startElection(now);
 }
 
 void Raft::startElection(Instant now)
 {
-    m_standing = Standing::Candidate;
+    m_serverState = ServerState::Candidate;
     ++m_hard.term;
     m_hard.votedFor = m_settings.self;
     persistHardState();
     m_votes = { m_settings.self };
-    askForVotes(m_hard.term, false);
+    requestVotes(m_hard.term, false);
     if (m_votes.size() >= majority())
         becomeLeader(now);
 }
 
-void Raft::askForVotes(std::uint64_t term, bool preVote)
+void Raft::requestVotes(std::uint64_t term, bool preVote)
 {
     for (const auto& member : m_members) {
         if (member != m_settings.self)
@@ -171,12 +171,12 @@
 
 void Raft::on(const std::string& from, const VoteRequest& request, Instant now)
 {
-    bool hearsLeader = hasContact(now);
-    if (!request.preVote && request.term > m_hard.term && !hearsLeader)
+    bool hasLeader = hasLeaderContact(now);
+    if (!request.preVote && request.term > m_hard.term && !hasLeader)
         stepDown(request.term, "", now);
-    bool isFree = request.preVote || m_hard.votedFor.empty() || m_hard.votedFor == from;
-    bool isTermRight = request.preVote ? request.term > m_hard.term : request.term == m_hard.term;
-    bool granted = m_hard.isVoter && counts(from, request.disk) && isTermRight && isFree && !hearsLeader && !isLeader()
+    bool mayVote = request.preVote || m_hard.votedFor.empty() || m_hard.votedFor == from;
+    bool hasExpectedTerm = request.preVote ? request.term > m_hard.term : request.term == m_hard.term;
+    bool granted = m_hard.isVoter && hasValidDisk(from, request.disk) && hasExpectedTerm && mayVote && !hasLeader && !isLeader()
         && isUpToDate(request.lastIndex, request.lastTerm);
     if (granted && !request.preVote) {
         m_hard.votedFor = from;
@@ -194,11 +194,11 @@
             stepDown(reply.term, "", now);
         return;
     }
-    if (!isMember(from) || !counts(from, reply.disk))
+    if (!isMember(from) || !hasValidDisk(from, reply.disk))
         return;
-    bool isForUs = reply.preVote ? m_standing == Standing::PreCandidate && reply.term == m_hard.term + 1
-                                 : m_standing == Standing::Candidate && reply.term == m_hard.term;
-    if (!isForUs)
+    bool isForThisElection = reply.preVote ? m_serverState == ServerState::PreCandidate && reply.term == m_hard.term + 1
+                                           : m_serverState == ServerState::Candidate && reply.term == m_hard.term;
+    if (!isForThisElection)
         return;
     m_votes.insert(from);
     if (m_votes.size() < majority())
@@ -219,14 +219,14 @@
 {
     Progress progress;
     progress.next = next;
-    progress.heardAt = now;
+    progress.lastReplyAt = now;
     progress.disk = disk;
     return progress;
 }
 
 void Raft::becomeLeader(Instant now)
 {
-    m_standing = Standing::Leader;
+    m_serverState = ServerState::Leader;
     m_leader = m_settings.self;
     m_progress.clear();
     m_registering.clear();
@@ -240,9 +240,9 @@
             m_progress[learner] = freshProgress(lastIndex() + 1, diskOf(learner), now);
     }
     m_effects.push_back(raft::LeaderChanged { true });
-    m_effects.push_back(Note { EventCode::LeaderElected, {}, "term " + std::to_string(m_hard.term) });
+    m_effects.push_back(LogEvent { EventCode::LeaderElected, {}, "term " + std::to_string(m_hard.term) });
     // Entries of earlier terms may only be committed together with one of this term.
-    appendOwn(NoopCommand {});
+    appendAsLeader(NoopCommand {});
     registerDisks();
     broadcast(now);
     advanceCommit();
@@ -256,28 +256,28 @@
         m_hard.votedFor.clear();
         persistHardState();
     }
-    m_standing = Standing::Follower;
+    m_serverState = ServerState::Follower;
     m_leader = leader;
     m_reads.clear();
     resetElectionTimer(now);
     if (wasLeader) {
         m_effects.push_back(raft::LeaderChanged { false });
-        m_effects.push_back(Note { EventCode::LeaderLost, {}, "term " + std::to_string(m_hard.term) });
+        m_effects.push_back(LogEvent { EventCode::LeaderLost, {}, "term " + std::to_string(m_hard.term) });
     }
 }
 
 /// A leader that a majority has not answered for an election timeout may have been replaced without knowing.
 void Raft::checkQuorum(Instant now)
 {
-    std::size_t heard = selfCount();
+    std::size_t reachable = selfCount();
     for (const auto& [member, progress] : m_progress) {
         // Whoever has not replied yet voted or may have: with disks that take 0.15 s for a sync, no reply comes within the first
         // heartbeat, and each leader would step down before its first one.
-        bool mayCount = progress.hasReplied ? acknowledges(member, progress) : counts(member, progress.disk);
-        if (isMember(member) && now - progress.heardAt <= m_settings.electionTimeout * 2 && mayCount)
-            ++heard;
+        bool mayCount = progress.hasReplied ? countsTowardsQuorum(member, progress) : hasValidDisk(member, progress.disk);
+        if (isMember(member) && now - progress.lastReplyAt <= m_settings.electionTimeout * 2 && mayCount)
+            ++reachable;
     }
-    if (heard < majority() && m_settings.safeguards.stepsDownWithoutQuorum)
+    if (reachable < majority() && m_settings.safeguards.stepsDownWithoutQuorum)
         stepDown(m_hard.term, "", now);
 }
 
@@ -287,7 +287,7 @@
 {
     if (!isLeader())
         return 0;
-    appendOwn(std::move(command));
+    appendAsLeader(std::move(command));
     m_needsFlush = true;
     auto own = std::exchange(m_effects, {});
     effects.insert(effects.end(), std::make_move_iterator(own.begin()), std::make_move_iterator(own.end()));
@@ -316,10 +316,10 @@
     return m_lastTicket;
 }
 
-void Raft::appendOwn(Command command)
+void Raft::appendAsLeader(Command command)
 {
     LogEntry entry { m_hard.term, lastIndex() + 1, std::move(command) };
-    noteEntry(entry);
+    applyMembership(entry);
     m_entries.push_back(entry);
     m_effects.push_back(raft::Persist { std::nullopt, 0, { std::move(entry) } });
 }
@@ -352,12 +352,12 @@
 
 void Raft::followLeader(const std::string& leader, std::uint64_t term, Instant now)
 {
-    if (term > m_hard.term || m_standing != Standing::Follower)
+    if (term > m_hard.term || m_serverState != ServerState::Follower)
         stepDown(term, leader, now);
     if (m_leader != leader)
         m_leaderCommit = 0;
     m_leader = leader;
-    m_leaderHeardAt = now;
+    m_leaderContactAt = now;
     m_isFirstElection = false;
     resetElectionTimer(now);
 }
@@ -382,7 +382,7 @@
         m_effects.push_back(raft::Send { from, appendReply(request, false, hint) });
         return;
     }
-    takeEntries(request.entries);
+    mergeEntries(request.entries);
     auto match = request.previousIndex + request.entries.size();
     m_effects.push_back(raft::Send { from, appendReply(request, true, match) });
     if (auto commit = std::min(request.commit, match); commit > m_commit) {
@@ -392,7 +392,7 @@
 }
 
 /// Adds the entries that are new, after voiding own ones that contradict them.
-bool Raft::takeEntries(const std::vector<LogEntry>& entries)
+bool Raft::mergeEntries(const std::vector<LogEntry>& entries)
 {
     raft::Persist persist;
     for (const auto& entry : entries) {
@@ -405,7 +405,7 @@
             persist.truncateFrom = entry.index;
             restoreDisks(m_appliedDisks);
         }
-        noteEntry(entry);
+        applyMembership(entry);
         m_entries.push_back(entry);
         persist.entries.push_back(entry);
     }
@@ -428,7 +428,7 @@
         progress = freshProgress(progress.next, reply.disk, now);
         registerDisks();
     }
-    progress.heardAt = now;
+    progress.lastReplyAt = now;
     progress.hasReplied = true;
     progress.isVoter = reply.isVoter;
     progress.isDiskless = reply.disk == DiskId();
@@ -438,10 +438,10 @@
         progress.next = std::max(progress.next, progress.match + 1);
         if (progress.next <= lastIndex())
             sendAppend(from, now);
-    } else if (progress.next > m_snapshot.lastIndex && reply.round >= progress.setBackRound) {
+    } else if (progress.next > m_snapshot.lastIndex && reply.round >= progress.nextResetRound) {
         progress.next = std::max(progress.match + 1, std::min(progress.next, reply.match + 1));
         // What was sent before is refused as well; each of these refusals would send all that the member lacks once more.
-        progress.setBackRound = ++m_round;
+        progress.nextResetRound = ++m_round;
         sendAppend(from, now);
     }
     advanceCommit();
@@ -455,7 +455,7 @@
     for (auto index = lastIndex(); index > m_commit && termAt(index) == m_hard.term; --index) {
         std::size_t stored = selfCount();
         for (const auto& [member, progress] : m_progress)
-            stored += isMember(member) && progress.match >= index && acknowledges(member, progress) ? 1 : 0;
+            stored += isMember(member) && progress.match >= index && countsTowardsQuorum(member, progress) ? 1 : 0;
         if (stored >= majority()) {
             m_commit = index;
             applyCommitted();
@@ -488,7 +488,7 @@
     std::erase_if(m_reads, [this](const Read& read) {
         std::size_t confirmed = selfCount();
         for (const auto& [member, progress] : m_progress)
-            confirmed += isMember(member) && progress.round >= read.round && acknowledges(member, progress) ? 1 : 0;
+            confirmed += isMember(member) && progress.round >= read.round && countsTowardsQuorum(member, progress) ? 1 : 0;
         if (confirmed < majority())
             return false;
         m_effects.push_back(raft::ReadReady { read.ticket });
--- a/src/version/Raft.h
+++ b/src/version/Raft.h
@@ -63,14 +63,14 @@
         bool isDynamic = false;
         std::string zone; ///< The availability zone of this controller.
         /// How many members may be lost at once: 2f + 1 members are kept where there are disks enough. Zero: as many as founded the log.
-        std::size_t lossesToBear = 0;
+        std::size_t toleratedFailures = 0;
         DiskId disk;
         bool isNewCluster = false; ///< A fresh disk may vote only in a cluster that is being founded.
         Duration electionTimeout = 400ms; ///< Elections start after one to two of these without a leader.
         Duration heartbeat = 80ms;
         std::uint64_t seed = 1;
         /// Whether the state machine can read such a snapshot; empty: any.
-        std::function<bool(const std::string&)> canRead;
+        std::function<bool(const std::string&)> canLoadSnapshot;
         Safeguards safeguards;
     };
 
@@ -101,14 +101,14 @@
     struct ReadReady {
         std::uint64_t ticket = 0;
     };
-    using Effect = std::variant<Persist, SaveSnapshot, Send, Apply, Restore, LeaderChanged, ReadReady, Note>;
+    using Effect = std::variant<Persist, SaveSnapshot, Send, Apply, Restore, LeaderChanged, ReadReady, LogEvent>;
 
 } // namespace raft
 
 class Raft {
 public:
     using Effects = std::vector<raft::Effect>;
-    enum class Standing : std::uint8_t { Follower, PreCandidate, Candidate, Leader };
+    enum class ServerState : std::uint8_t { Follower, PreCandidate, Candidate, Leader };
 
     Raft(raft::Settings, raft::Recovered, Instant now);
 
@@ -123,9 +123,9 @@
     /// Asks for a linearizable read. \returns a ticket that comes back as ReadReady, or zero if this is not the leader.
     std::uint64_t requestRead(Effects&, Instant now);
     /// A controller is linked: if it doesn't vote, it learns. \param zone its availability zone. \param now when the link came up.
-    void meet(const std::string& name, const std::string& zone, Instant now);
+    void addPeer(const std::string& name, const std::string& zone, Instant now);
     /// The link to a controller is gone; a learner is forgotten until it comes back.
-    void lose(const std::string& name);
+    void removePeer(const std::string& name);
     /// Whether this state is the newest that a majority has accepted, as far as a member that hears its leader can know. Never before an
     /// entry of the leader's own term is committed: until then the leader itself may not know what was.
     [[nodiscard]] bool isCurrent(Instant now) const;
@@ -138,8 +138,8 @@
     [[nodiscard]] Instant nextWake() const;
     /// Whether this disk may vote.
     [[nodiscard]] bool isVoter() const { return m_hard.isVoter; }
-    [[nodiscard]] Standing standing() const { return m_standing; }
-    [[nodiscard]] bool isLeader() const { return m_standing == Standing::Leader; }
+    [[nodiscard]] ServerState serverState() const { return m_serverState; }
+    [[nodiscard]] bool isLeader() const { return m_serverState == ServerState::Leader; }
     [[nodiscard]] const std::string& leader() const { return m_leader; }
     [[nodiscard]] std::uint64_t term() const { return m_hard.term; }
     [[nodiscard]] std::uint64_t commitIndex() const { return m_commit; }
@@ -151,7 +151,7 @@
     /// Whether the log holds a routing document that is not applied here yet.
     [[nodiscard]] bool hasUnappliedDocument() const;
     /// Whether a leader was heard of within the last election timeout.
-    [[nodiscard]] bool hasContact(Instant now) const;
+    [[nodiscard]] bool hasLeaderContact(Instant now) const;
     /// The disks that count, by member.
     [[nodiscard]] const std::map<std::string, DiskId>& disks() const { return m_disks; }
     /// Restores the registered disks with the state that a snapshot holds.
@@ -162,8 +162,8 @@
         std::uint64_t next = 1;
         std::uint64_t match = 0;
         std::uint64_t round = 0;
-        std::uint64_t setBackRound = 0; ///< Requests before this round were sent before `next` was set back last.
-        Instant heardAt;
+        std::uint64_t nextResetRound = 0; ///< Requests before this round were sent before `next` was set back last.
+        Instant lastReplyAt;
         DiskId disk;
         bool hasReplied = false; ///< Since this leader was elected, with this disk.
         bool isVoter = false; ///< It knows that this disk is registered.
@@ -186,12 +186,12 @@
 
     void startPreVote(Instant);
     void startElection(Instant);
-    void askForVotes(std::uint64_t term, bool preVote);
+    void requestVotes(std::uint64_t term, bool preVote);
     void becomeLeader(Instant);
     void stepDown(std::uint64_t term, const std::string& leader, Instant);
     void followLeader(const std::string& leader, std::uint64_t term, Instant);
-    bool takeEntries(const std::vector<LogEntry>&);
-    void appendOwn(Command);
+    bool mergeEntries(const std::vector<LogEntry>&);
+    void appendAsLeader(Command);
     void broadcast(Instant);
     void sendAppend(const std::string& to, Instant);
     void sendSnapshot(const std::string& to, Instant);
@@ -202,17 +202,17 @@
     void registerDisks();
     bool registerDisk(const std::string& member, DiskId);
     void resetElectionTimer(Instant);
-    void hastenFirstElection(Instant);
+    void shortenFirstElectionTimeout(Instant);
     void persistHardState();
     [[nodiscard]] DiskId diskOf(const std::string& member) const;
-    [[nodiscard]] bool counts(const std::string& member, DiskId) const;
-    [[nodiscard]] bool acknowledges(const std::string& member, const Progress&) const;
+    [[nodiscard]] bool hasValidDisk(const std::string& member, DiskId) const;
+    [[nodiscard]] bool countsTowardsQuorum(const std::string& member, const Progress&) const;
     [[nodiscard]] AppendReply appendReply(const AppendRequest&, bool accepted, std::uint64_t match) const;
     [[nodiscard]] bool isUpToDate(std::uint64_t lastIndex, std::uint64_t lastTerm) const;
     [[nodiscard]] std::uint64_t termAt(std::uint64_t index) const;
     [[nodiscard]] const LogEntry& entryAt(std::uint64_t index) const { return m_entries[index - m_snapshot.lastIndex - 1]; }
     [[nodiscard]] std::size_t majority() const { return m_members.size() / 2 + 1; }
-    void noteEntry(const LogEntry&);
+    void applyMembership(const LogEntry&);
     void setVoter(bool);
     void changeMembers(Instant);
     [[nodiscard]] std::vector<std::string> plannedMembers(Instant) const;
@@ -227,7 +227,7 @@
     std::size_t m_bytesKept = 0;
     std::uint64_t m_commit = 0;
     std::uint64_t m_applied = 0;
-    Standing m_standing = Standing::Follower;
+    ServerState m_serverState = ServerState::Follower;
     std::string m_leader;
     std::set<std::string> m_votes;
     std::map<std::string, Progress> m_progress;
@@ -246,7 +246,7 @@
     raft::Snapshot m_incoming;
     std::uint64_t m_incomingTerm = 0; ///< Of the leader that sends it.
     Instant m_electionDue;
-    Instant m_leaderHeardAt;
+    Instant m_leaderContactAt;
     bool m_isFirstElection = true; ///< Since its start this member has neither heard a leader nor stood for election.
     Instant m_heartbeatDue;
     bool m_needsFlush = false;
--- a/src/version/RaftMembers.cpp
+++ b/src/version/RaftMembers.cpp
@@ -16,7 +16,7 @@
     m_appliedMembers = members;
     m_members = std::move(members);
     for (const auto& entry : m_entries)
-        noteEntry(entry);
+        applyMembership(entry);
 }
 
 void Raft::restoreDisks(std::map<std::string, DiskId> disks)
@@ -25,7 +25,7 @@
     m_disks = std::move(disks);
     m_members = m_appliedMembers;
     for (const auto& entry : m_entries)
-        noteEntry(entry);
+        applyMembership(entry);
     if (auto it = m_appliedDisks.find(m_settings.self); it != m_appliedDisks.end())
         setVoter(it->second == m_settings.disk || !m_settings.safeguards.countsOnlyKnownDisks);
 }
@@ -36,7 +36,7 @@
     auto it = m_disks.find(name);
     if (disk == DiskId() || (it != m_disks.end() && it->second == disk) || !m_registering.insert({ name, disk }).second)
         return false;
-    appendOwn(ReplaceDiskCommand { name, disk, m_zones[name] });
+    appendAsLeader(ReplaceDiskCommand { name, disk, m_zones[name] });
     return true;
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-void Raft::noteEntry(const LogEntry& entry)
+void Raft::applyMembership(const LogEntry& entry)
 {
     if (const auto* replace = std::get_if<ReplaceDiskCommand>(&entry.command)) {
         m_disks[replace->name] = replace->disk;
@@ -64,16 +64,16 @@
 
 bool Raft::isMember(const std::string& name) const { return std::find(m_members.begin(), m_members.end(), name) != m_members.end(); }
 
-void Raft::meet(const std::string& name, const std::string& zone, Instant now)
+void Raft::addPeer(const std::string& name, const std::string& zone, Instant now)
 {
     m_linked.insert(name);
     m_zones[name] = zone;
     if (isLeader() && name != m_settings.self && !m_progress.contains(name))
         m_progress[name] = freshProgress(lastIndex() + 1, diskOf(name), now);
-    hastenFirstElection(now);
+    shortenFirstElectionTimeout(now);
 }
 
-void Raft::lose(const std::string& name)
+void Raft::removePeer(const std::string& name)
 {
     m_linked.erase(name);
     if (!isMember(name))
@@ -83,7 +83,7 @@
 bool Raft::isCurrent(Instant now) const
 {
     // Until an entry of its term is committed a leader may not know the newest commit, and nor do those that hear it.
-    return hasContact(now) && termAt(m_commit) == m_hard.term && m_commit >= m_leaderCommit;
+    return hasLeaderContact(now) && termAt(m_commit) == m_hard.term && m_commit >= m_leaderCommit;
 }
 
 /// One change at a time, and only after an entry of this term is committed: two changes that overlap could have majorities
@@ -102,7 +102,7 @@
     // The disk is registered first: a member that may not vote yet takes part in no majority, and two losses right after the
     // change would find the members short of one more.
     const auto& progress = m_progress.at(*added);
-    if (acknowledges(*added, progress))
+    if (countsTowardsQuorum(*added, progress))
         return proposeMembers(std::move(planned), now);
     if (registerDisk(*added, progress.disk))
         broadcast(now);
@@ -110,11 +110,11 @@
 
 std::vector<std::string> Raft::plannedMembers(Instant now) const
 {
-    membership::View view { m_members, m_settings.self, m_settings.zone, {}, m_commit, m_settings.lossesToBear };
+    membership::ClusterView view { m_members, m_settings.self, m_settings.zone, {}, m_commit, m_settings.toleratedFailures };
     for (const auto& [name, progress] : m_progress) {
         auto zone = m_zones.find(name);
-        view.others.push_back({ name, zone == m_zones.end() ? std::string() : zone->second, m_linked.contains(name), progress.isDiskless,
-            acknowledges(name, progress), progress.match, now - progress.heardAt });
+        view.peers.push_back({ name, zone == m_zones.end() ? std::string() : zone->second, m_linked.contains(name), progress.isDiskless,
+            countsTowardsQuorum(name, progress), progress.match, now - progress.lastReplyAt });
     }
     return membership::plan(view).value_or(m_members);
 }
@@ -124,8 +124,8 @@
     std::string text;
     for (const auto& name : members)
         text += (text.empty() ? "" : ", ") + name;
-    m_effects.push_back(Note { EventCode::MembersChanged, {}, text });
-    appendOwn(MembersCommand { std::move(members) });
+    m_effects.push_back(LogEvent { EventCode::MembersChanged, {}, text });
+    appendAsLeader(MembersCommand { std::move(members) });
     registerDisks();
     broadcast(now);
     advanceCommit();
--- a/src/version/RaftSnapshot.cpp
+++ b/src/version/RaftSnapshot.cpp
@@ -11,7 +11,7 @@
 
     constexpr std::size_t snapshotChunkBytes = 64 * 1024;
     /// A snapshot chunk that was not answered for this long is sent again.
-    constexpr Duration chunkResend = 500ms;
+    constexpr Duration chunkResendAfter = 500ms;
 
 } // namespace
 
@@ -20,7 +20,7 @@
     auto& progress = m_progress.at(to);
     // A heartbeat keeps the member's election timer quiet while it receives.
     m_effects.push_back(raft::Send { to, AppendRequest { m_hard.term, lastIndex(), termAt(lastIndex()), 0, m_round, {} } });
-    if (now - progress.chunkSentAt < chunkResend)
+    if (now - progress.chunkSentAt < chunkResendAfter)
         return;
     progress.chunkSentAt = now;
     auto bytes = m_snapshot.bytes.substr(std::min(progress.snapshotOffset, m_snapshot.bytes.size()), snapshotChunkBytes);
@@ -35,20 +35,20 @@
         return;
     followLeader(from, chunk.term, now);
     // Another leader's snapshot up to the same entry says the same, but not in the same bytes.
-    bool isOtherLeader = std::exchange(m_incomingTerm, chunk.term) != chunk.term;
-    bool isNew = isOtherLeader || m_incoming.lastIndex != chunk.lastIndex || m_incoming.lastTerm != chunk.lastTerm;
+    bool isOtherTerm = std::exchange(m_incomingTerm, chunk.term) != chunk.term;
+    bool isNew = isOtherTerm || m_incoming.lastIndex != chunk.lastIndex || m_incoming.lastTerm != chunk.lastTerm;
     if (isNew)
         m_incoming = { chunk.lastIndex, chunk.lastTerm, "" };
     if (chunk.offset == m_incoming.bytes.size())
         m_incoming.bytes += chunk.bytes;
     auto received = m_incoming.bytes.size();
     bool isWhole = chunk.done && chunk.offset + chunk.bytes.size() == received;
-    if (isWhole && m_settings.canRead && !m_settings.canRead(m_incoming.bytes)) {
+    if (isWhole && m_settings.canLoadSnapshot && !m_settings.canLoadSnapshot(m_incoming.bytes)) {
         // A leader of another release may send what this one can't read. The log that is here is worth more; dropped for those bytes it
         // left a controller that ended whenever it was sent them. Without an answer the chunk comes again at the pace of resends.
         m_incoming = {};
         m_effects.push_back(
-            Note { EventCode::SnapshotRefused, {}, from + " sent one that can't be read, up to " + std::to_string(chunk.lastIndex) });
+            LogEvent { EventCode::SnapshotRefused, {}, from + " sent one that can't be read, up to " + std::to_string(chunk.lastIndex) });
         return;
     }
     if (isWhole && chunk.lastIndex > m_commit) {
@@ -63,7 +63,7 @@
         m_commit = m_applied = m_snapshot.lastIndex;
         m_effects.push_back(raft::SaveSnapshot { m_snapshot });
         m_effects.push_back(raft::Restore { m_snapshot });
-        m_effects.push_back(Note { EventCode::SnapshotInstalled, {}, "up to index " + std::to_string(m_snapshot.lastIndex) });
+        m_effects.push_back(LogEvent { EventCode::SnapshotInstalled, {}, "up to index " + std::to_string(m_snapshot.lastIndex) });
     }
     m_effects.push_back(raft::Send { from, SnapshotReply { m_hard.term, chunk.lastIndex, received, m_settings.disk } });
 }
@@ -74,7 +74,7 @@
     if (!isLeader() || it == m_progress.end() || reply.lastIndex != m_snapshot.lastIndex)
         return;
     auto& progress = it->second;
-    progress.heardAt = now;
+    progress.lastReplyAt = now;
     if (progress.next > m_snapshot.lastIndex)
         return;
     if (reply.received >= m_snapshot.bytes.size()) {
@@ -84,7 +84,7 @@
         return sendAppend(from, now);
     }
     // The answer to a chunk that was sent twice. Followed by the next chunk too, it would have all that are left sent twice.
-    if (reply.received == progress.snapshotOffset && now - progress.chunkSentAt < chunkResend)
+    if (reply.received == progress.snapshotOffset && now - progress.chunkSentAt < chunkResendAfter)
         return;
     progress.snapshotOffset = reply.received;
     progress.chunkSentAt = {};
@@ -105,7 +105,7 @@
     }
     Effects effects;
     effects.push_back(raft::SaveSnapshot { m_snapshot });
-    effects.push_back(Note { EventCode::SnapshotTaken, {}, "up to index " + std::to_string(m_applied) });
+    effects.push_back(LogEvent { EventCode::SnapshotTaken, {}, "up to index " + std::to_string(m_applied) });
     return effects;
 }
 
--- a/src/version/RoutingDocument.cpp
+++ b/src/version/RoutingDocument.cpp
@@ -9,7 +9,7 @@
 
     Error invalid(const std::string& what) { return { ResultCode::BadConfiguration, what }; }
 
-    std::string placeOf(std::string_view host, std::string_view prefix) { return std::string(host) + std::string(prefix); }
+    std::string routeKey(std::string_view host, std::string_view prefix) { return std::string(host) + std::string(prefix); }
 
     Result<void> validateRoute(const Route& route, const std::set<std::string>& services)
     {
@@ -34,12 +34,12 @@
     Result<void> validateAccounts(const std::vector<AccountRule>& accounts)
     {
         std::set<std::string> names;
-        std::map<SecretDigest, std::string> holders;
+        std::map<SecretDigest, std::string> keyOwners;
         for (const auto& account : accounts) {
             if (!names.insert(account.name).second)
                 return invalid("account '" + account.name + "' stands twice; remove one");
             for (const auto& key : account.keys) {
-                if (auto [it, isNew] = holders.emplace(key, account.name); !isNew && it->second != account.name)
+                if (auto [it, isNew] = keyOwners.emplace(key, account.name); !isNew && it->second != account.name)
                     return invalid("accounts '" + it->second + "' and '" + account.name + "' share a key; give each its own");
             }
         }
@@ -57,11 +57,11 @@
         if (!services.insert(service.name).second)
             return invalid("service '" + service.name + "' stands twice; remove one");
     }
-    std::set<std::string> places;
+    std::set<std::string> routeKeys;
     for (const auto& route : document.routes) {
         if (auto valid = validateRoute(route, services); !valid)
             return valid;
-        if (!places.insert(placeOf(route.host, route.prefix)).second)
+        if (!routeKeys.insert(routeKey(route.host, route.prefix)).second)
             return invalid("two routes share " + route.host + route.prefix + "; remove one");
     }
     if (document.accounts)
@@ -73,7 +73,7 @@
     : m_document(std::move(document))
 {
     for (std::size_t i = 0; i < m_document.routes.size(); ++i)
-        m_routes[placeOf(m_document.routes[i].host, m_document.routes[i].prefix)] = i;
+        m_routes[routeKey(m_document.routes[i].host, m_document.routes[i].prefix)] = i;
     for (std::size_t i = 0; i < m_document.services.size(); ++i)
         m_services[m_document.services[i].name] = i;
     for (std::size_t i = 0; m_document.accounts && i < m_document.accounts->size(); ++i) {
@@ -84,7 +84,7 @@
 
 const Route* RouteTable::find(std::string_view host, std::string_view path) const
 {
-    auto place = placeOf(host, path);
+    auto place = routeKey(host, path);
     // Every prefix ends with a slash: cut the path back from slash to slash.
     for (auto n = place.rfind('/'); n != std::string::npos && n + 1 > host.size(); n = n ? place.rfind('/', n - 1) : std::string::npos) {
         place.resize(n + 1);
--- a/src/version/RoutingDocument.h
+++ b/src/version/RoutingDocument.h
@@ -50,11 +50,11 @@
 };
 
 /// What is known of a service's engines, where it has any.
-struct EngineFacts {
+struct EngineProperties {
     std::uint32_t slots = 0;
     std::uint64_t cacheTokens = 0; ///< Tokens that the KV memory of one replica holds.
-    Duration placeHold {}; ///< The longest that a decode replica sets a place aside; zero: it doesn't.
-    Duration promptHold {}; ///< A prefill replica keeps a prompt's KV cache for this long.
+    Duration reservationTimeout {}; ///< The longest that a decode replica sets a place aside; zero: it doesn't.
+    Duration kvRetention {}; ///< A prefill replica keeps a prompt's KV cache for this long.
     Duration stageChange {}; ///< A replica that changes its stage is away for this long.
 };
 
@@ -63,7 +63,7 @@
     std::string healthPath;
     std::uint32_t maxConnections = 0; ///< To one replica, from all gateways together.
     bool isEngine = false;
-    EngineFacts engine;
+    EngineProperties engine;
 };
 
 /// What callers may send, and how slowly.
@@ -80,7 +80,7 @@
     Unit unit = Unit::Requests;
     double perSecond = 0; ///< Zero: no limit.
     double burst = 0; ///< Beyond that, at once.
-    double plainTokens = 0; ///< What a request counts as that states no tokens; where tokens count.
+    double defaultTokens = 0; ///< What a request counts as that states no tokens; where tokens count.
     bool operator==(const QuotaRule&) const = default;
 };
 
--- a/test/correctness/AccountTest.cpp
+++ b/test/correctness/AccountTest.cpp
@@ -34,13 +34,13 @@
 struct Site : Bench {
     Site()
     {
-        post(TakeDocument { documentOf(1, { account("desk", { "k1", "k2" }), account("gate", { "k3" }, 0) }), true });
-        post(RegistryTold { PeerId(50), { {}, 1 } });
+        post(DocumentReceived { documentOf(1, { account("desk", { "k1", "k2" }), account("gate", { "k3" }, 0) }), true });
+        post(RegistryHeartbeatReceived { PeerId(50), { {}, 1 } });
         replica("r1");
     }
-    RequestId askWith(const std::string& path, const std::string& key, RequestFingerprint fingerprint = {})
+    RequestId requestWithKey(const std::string& path, const std::string& key, RequestFingerprint fingerprint = {})
     {
-        return ask(path, 600ms, fingerprint, key);
+        return submit(path, 600ms, fingerprint, key);
     }
 };
 
@@ -49,11 +49,11 @@
 TEST_CASE("a request runs for the account whose key its caller shows, and for nobody else")
 {
     Site site;
-    site.askWith("/once/x", "k2");
+    site.requestWithKey("/once/x", "k2");
     CHECK(site.only<Send>().account == "desk");
     for (const auto* key : { "k4", "k", "" }) {
-        site.askWith("/once/x", key);
-        CHECK(site.did<Send>().empty());
+        site.requestWithKey("/once/x", key);
+        CHECK(site.effects<Send>().empty());
         CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
         CHECK(httpStatusOf(ResultCode::UnknownAccount) == 401);
         CHECK(!site.only<Refuse>().error.retryAfter);
@@ -64,10 +64,10 @@
 {
     Site site;
     for (const auto* key : { "", "k4" }) {
-        site.askWith("/open/x", key);
+        site.requestWithKey("/open/x", key);
         CHECK(site.only<Send>().account == "");
     }
-    site.askWith("/open/x", "k3");
+    site.requestWithKey("/open/x", "k3");
     CHECK(site.only<Send>().account == "gate");
 }
 
@@ -75,7 +75,7 @@
 {
     Bench bench;
     bench.serve().replica("r1");
-    bench.ask("/once/x", 600ms, {}, "whatever");
+    bench.submit("/once/x", 600ms, {}, "whatever");
     CHECK(!bench.only<Send>().account);
 }
 
@@ -83,28 +83,28 @@
 {
     Bench bench;
     bench.replica("r1");
-    bench.ask("/once/x", 600ms, {}, "k1");
+    bench.submit("/once/x", 600ms, {}, "k1");
     bench.wait(150ms);
     CHECK(bench.only<Refuse>().error.code == ResultCode::ConfigUnavailable);
-    bench.post(TakeDocument { documentOf(1, {}), true });
-    bench.post(RegistryTold { PeerId(50), { {}, 1 } });
-    bench.ask("/once/x", 600ms, {}, "k1");
+    bench.post(DocumentReceived { documentOf(1, {}), true });
+    bench.post(RegistryHeartbeatReceived { PeerId(50), { {}, 1 } });
+    bench.submit("/once/x", 600ms, {}, "k1");
     CHECK(bench.only<Refuse>().error.code == ResultCode::UnknownAccount);
 }
 
 TEST_CASE("a gateway that hears no controller does not say of a key that nobody holds it")
 {
     Site site;
-    site.now += AccountQuotas::contactLasts + 1ms;
-    site.askWith("/once/x", "k4");
+    site.now += AccountQuotas::contactTimeout + 1ms;
+    site.requestWithKey("/once/x", "k4");
     CHECK(site.only<Refuse>().error.code == ResultCode::ConfigUnavailable);
     CHECK(site.only<Refuse>().error.retryAfter);
     // One who shows none is refused whatever documents there may be.
-    site.askWith("/once/x", "");
+    site.requestWithKey("/once/x", "");
     CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
     // Those that are known are served on.
-    site.askWith("/once/x", "k1");
-    CHECK(site.did<Send>().size() == 1);
+    site.requestWithKey("/once/x", "k1");
+    CHECK(site.effects<Send>().size() == 1);
 }
 
 TEST_CASE("a key that is taken away ends what waits for an engine, and not what runs")
@@ -112,16 +112,16 @@
     // Guards against a caller without an account that is served after its key was taken away.
     Site site;
     site.replica("d1", UpstreamKind::Decode).replica("p1", UpstreamKind::Prefill);
-    auto running = site.run(site.ask("/stream/x", 14s, {}, "k1"));
-    auto waiting = site.ask("/stream/y", 14s, {}, "k1");
-    site.ask("/stream/y", 14s, {}, "k2");
-    site.post(TakeDocument { documentOf(2, { account("desk", { "k2" }), account("gate", { "k3" }) }), true });
+    auto running = site.run(site.submit("/stream/x", 14s, {}, "k1"));
+    auto waiting = site.submit("/stream/y", 14s, {}, "k1");
+    site.submit("/stream/y", 14s, {}, "k2");
+    site.post(DocumentReceived { documentOf(2, { account("desk", { "k2" }), account("gate", { "k3" }) }), true });
     CHECK((site.only<Refuse>().id == waiting));
     CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
     site.streamHead(running);
     site.post(AnswerBody { running.id, running.attempt, "id: 1\ndata: x\n\n" });
-    CHECK(site.did<StreamBytes>().size() == 1);
-    site.askWith("/once/x", "k1");
+    CHECK(site.effects<StreamBytes>().size() == 1);
+    site.requestWithKey("/once/x", "k1");
     CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
 }
 
@@ -129,20 +129,20 @@
 {
     Site site;
     site.replica("d1", UpstreamKind::Decode).replica("p1", UpstreamKind::Prefill);
-    site.post(TakeDocument { [] {
-                                auto out = documentOf(2, { account("desk", { "k1" }, 5), account("gate", { "k3" }, 0) });
-                                for (auto& route : out.routes)
-                                    route.rank = 1;
-                                return out;
-                            }(),
+    site.post(DocumentReceived { [] {
+                                    auto out = documentOf(2, { account("desk", { "k1" }, 5), account("gate", { "k3" }, 0) });
+                                    for (auto& route : out.routes)
+                                        route.rank = 1;
+                                    return out;
+                                }(),
         true });
-    auto refuse = [&site](const TakePlace& take) { site.post(PlaceRefused { take.id, take.attempt, true }); };
-    site.ask("/stream/x", 14s, {}, "k1");
-    refuse(site.only<TakePlace>());
-    auto urgent = site.ask("/stream/y", 14s, {}, "k3");
+    auto refuse = [&site](const ReserveAtReplica& take) { site.post(ReservationRefused { take.id, take.attempt, true }); };
+    site.submit("/stream/x", 14s, {}, "k1");
+    refuse(site.only<ReserveAtReplica>());
+    auto urgent = site.submit("/stream/y", 14s, {}, "k3");
     site.wait(50ms);
-    REQUIRE(!site.did<TakePlace>().empty());
-    CHECK((site.did<TakePlace>().front().id == urgent));
+    REQUIRE(!site.effects<ReserveAtReplica>().empty());
+    CHECK((site.effects<ReserveAtReplica>().front().id == urgent));
 }
 
 TEST_CASE("two keys of one account make one caller of a request that crashes replicas")
@@ -150,18 +150,18 @@
     Site site;
     RequestFingerprint print(7);
     auto crashOf = [&](const std::string& key) {
-        site.askWith("/once/x", key, print);
+        site.requestWithKey("/once/x", key, print);
         auto send = site.only<Send>();
         site.now += 50ms;
         site.post(CallFailed { send.id, send.attempt, true, "reset" });
-        auto told = site.did<TellCrashes>();
+        auto reports = site.effects<ReportCrashes>();
         site.wait(1s);
-        return told.empty() ? RequestFingerprint() : told.front().report.crashes.front().request;
+        return reports.empty() ? RequestFingerprint() : reports.front().report.crashes.front().request;
     };
     auto first = crashOf("k1");
-    CHECK((first == ofAccount(print, "desk")));
+    CHECK((first == fingerprintForAccount(print, "desk")));
     site.replica("r2").replica("r3");
-    CHECK((crashOf("k3") == ofAccount(print, "gate")));
+    CHECK((crashOf("k3") == fingerprintForAccount(print, "gate")));
     CHECK((crashOf("k2") == first));
 }
 
@@ -176,16 +176,16 @@
     {
         auto desk = account("desk", { "k1" });
         desk.quota = { QuotaRule::Unit::Tokens, 1000, 12'000, 200 };
-        post(TakeDocument { documentOf(1, { desk, account("gate", { "k3" }) }), true });
+        post(DocumentReceived { documentOf(1, { desk, account("gate", { "k3" }) }), true });
         for (int i = 0; i < 15; ++i)
-            hear();
+            receiveTotals();
         replica("r1").replica("d1", UpstreamKind::Decode).replica("p1", UpstreamKind::Prefill);
     }
-    void hear()
+    void receiveTotals()
     {
-        post(RegistryTold { controller, { {}, 1 } });
+        post(RegistryHeartbeatReceived { controller, { {}, 1 } });
         wait(1s);
-        post(QuotaTold { controller, { {}, true } });
+        post(QuotaTotalsReceived { controller, { {}, true } });
     }
     static constexpr PeerId controller { 50 };
 };
@@ -195,30 +195,30 @@
 TEST_CASE("an account beyond its quota is refused before a replica is asked for anything, and told when to come back")
 {
     LimitedSite site;
-    site.hear();
+    site.receiveTotals();
     for (int i = 0; i < 2; ++i) {
-        site.ask("/stream/x", 14s, {}, "k1");
-        CHECK(site.did<Refuse>().empty());
+        site.submit("/stream/x", 14s, {}, "k1");
+        CHECK(site.effects<Refuse>().empty());
     }
-    site.ask("/stream/x", 14s, {}, "k1");
+    site.submit("/stream/x", 14s, {}, "k1");
     auto error = site.only<Refuse>().error;
     CHECK(error.code == ResultCode::AccountRateLimit);
     CHECK(httpStatusOf(error.code) == 429);
     REQUIRE(error.retryAfter);
     CHECK(*error.retryAfter > 1s);
-    CHECK(site.did<TakePlace>().empty());
-    CHECK(site.did<Send>().empty());
+    CHECK(site.effects<ReserveAtReplica>().empty());
+    CHECK(site.effects<Send>().empty());
     // Another account is none the worse for it.
-    site.ask("/once/x", 600ms, {}, "k3");
-    CHECK(site.did<Send>().size() == 1);
+    site.submit("/once/x", 600ms, {}, "k3");
+    CHECK(site.effects<Send>().size() == 1);
 }
 
 namespace {
 
 /// Engines with room for half as many callers again as come on an ordinary day, and sixteen accounts with 1.8 times what they send.
-class Town : public Bench {
+class LoadedSite : public Bench {
 public:
-    Town()
+    LoadedSite()
         : Bench({ "zone-1", 1, { 0.2, 60, 10s }, "gateway-1", { 8s, 0, 0 } })
     {
         std::vector<AccountRule> accounts;
@@ -226,28 +226,28 @@
             accounts.push_back(account("account-" + std::to_string(i), { "key-" + std::to_string(i) }));
             accounts.back().quota = { QuotaRule::Unit::Tokens, 1.8 * tokens, 2 * tokens, tokens };
         }
-        post(TakeDocument { documentOf(1, accounts), true });
-        play(5s, {});
+        post(DocumentReceived { documentOf(1, accounts), true });
+        simulate(5s, {});
         served.assign(accountCount, 0);
     }
 
     /// \param perSecond requests of the first account; each of the others sends one a second.
-    void play(Duration time, std::optional<int> perSecond)
+    void simulate(Duration time, std::optional<int> perSecond)
     {
         for (auto end = now + time; now < end; ++m_step) {
             for (int i = 0; perSecond && i < accountCount; ++i) {
                 auto rate = i ? 1 : *perSecond;
                 if ((m_step + 6 * i) * rate % stepsPerSecond < rate)
-                    askFor(i);
+                    sendRequest(i);
             }
             if (m_step % stepsPerSecond == 0)
-                hear();
+                receiveTotals();
             wait(Duration(1s) / stepsPerSecond);
-            answer();
+            respond();
             while (!m_due.empty() && m_due.begin()->first <= now) {
                 auto event = m_due.extract(m_due.begin()).mapped();
                 post(event);
-                answer();
+                respond();
             }
         }
     }
@@ -259,19 +259,19 @@
     static constexpr int stepsPerSecond = 100;
     static constexpr double tokens = 5800;
 
-    void askFor(int account)
+    void sendRequest(int account)
     {
-        auto id = ask("/stream/x", 14s, {}, "key-" + std::to_string(account));
+        auto id = submit("/stream/x", 14s, {}, "key-" + std::to_string(account));
         m_askedBy[id] = account;
-        answer();
+        respond();
     }
 
-    void hear()
+    void receiveTotals()
     {
-        post(RegistryTold { PeerId(50), { {}, 1 } });
-        answer();
-        post(QuotaTold { PeerId(50), { {}, true } });
-        answer();
+        post(RegistryHeartbeatReceived { PeerId(50), { {}, 1 } });
+        respond();
+        post(QuotaTotalsReceived { PeerId(50), { {}, true } });
+        respond();
         announce("p1", UpstreamKind::Prefill);
         for (const auto* id : { "d1", "d2", "d3" })
             announce(id, UpstreamKind::Decode);
@@ -280,20 +280,20 @@
     void announce(const std::string& id, UpstreamKind kind)
     {
         replica(id, kind, ++m_announced);
-        answer();
+        respond();
     }
 
     /// The engines' answers to what was done last: a prompt takes 20 ms, an answer a second.
-    void answer()
+    void respond()
     {
-        for (const auto& take : did<TakePlace>())
-            m_due.emplace(now, PlaceTaken { take.id, take.attempt, "place-" + std::to_string(++m_places) });
-        for (const auto& send : did<Send>()) {
+        for (const auto& take : effects<ReserveAtReplica>())
+            m_due.emplace(now, ReservationGranted { take.id, take.attempt, "place-" + std::to_string(++m_places) });
+        for (const auto& send : effects<Send>()) {
             if (send.isPrefill) {
-                m_due.emplace(now + 20ms, PromptRead { send.id, send.attempt, "kv" });
+                m_due.emplace(now + 20ms, PrefillFinished { send.id, send.attempt, "kv" });
                 continue;
             }
-            AnswerFacts facts;
+            AnswerMetadata facts;
             facts.status = 200;
             facts.isStream = true;
             m_due.emplace(now + 1s, AnswerHead { send.id, send.attempt, facts, {} });
@@ -301,7 +301,7 @@
             m_due.emplace(now + 1s, AnswerEnd { send.id, send.attempt });
             ++served[m_askedBy.at(send.id)];
         }
-        for (const auto& refuse : did<Refuse>())
+        for (const auto& refuse : effects<Refuse>())
             refused += m_askedBy.at(refuse.id) != 0;
     }
 
@@ -316,46 +316,46 @@
 
 TEST_CASE("an account that sends six times its usual is served its quota, and the others as on any day")
 {
-    Town usual;
-    usual.play(20s, 1);
-    Town hot;
-    hot.play(20s, 6);
-    CHECK(usual.refused == 0);
-    CHECK(hot.refused == 0);
-    for (std::size_t i = 1; i < hot.served.size(); ++i) {
-        CHECK(usual.served[i] >= 19);
-        CHECK(hot.served[i] >= usual.served[i]);
+    LoadedSite baseline;
+    baseline.simulate(20s, 1);
+    LoadedSite overloaded;
+    overloaded.simulate(20s, 6);
+    CHECK(baseline.refused == 0);
+    CHECK(overloaded.refused == 0);
+    for (std::size_t i = 1; i < overloaded.served.size(); ++i) {
+        CHECK(baseline.served[i] >= 19);
+        CHECK(overloaded.served[i] >= baseline.served[i]);
     }
-    CHECK(hot.served[0] >= 1.8 * 20 * 0.95);
-    CHECK(hot.served[0] <= 1.8 * 20 + 2 + 1);
+    CHECK(overloaded.served[0] >= 1.8 * 20 * 0.95);
+    CHECK(overloaded.served[0] <= 1.8 * 20 + 2 + 1);
 }
 
 TEST_CASE("a request that is refused for want of room costs its account nothing, and one that may have run does")
 {
     LimitedSite site;
-    site.hear();
-    auto left = [&site] { return site.logic().quotas().accounts().at("desk").left(site.now); };
-    auto before = left();
-    auto take = (site.ask("/stream/x", 14s, {}, "k1"), site.only<TakePlace>());
-    CHECK(left() == doctest::Approx(before - 5800));
-    site.post(PlaceRefused { take.id, take.attempt, true });
-    site.post(CallerGone { take.id });
-    CHECK(left() == doctest::Approx(before));
-    site.ask("/once/x", 600ms, {}, "k1");
+    site.receiveTotals();
+    auto remaining = [&site] { return site.logic().quotas().accounts().at("desk").remaining(site.now); };
+    auto before = remaining();
+    auto take = (site.submit("/stream/x", 14s, {}, "k1"), site.only<ReserveAtReplica>());
+    CHECK(remaining() == doctest::Approx(before - 5800));
+    site.post(ReservationRefused { take.id, take.attempt, true });
+    site.post(CallerDisconnected { take.id });
+    CHECK(remaining() == doctest::Approx(before));
+    site.submit("/once/x", 600ms, {}, "k1");
     auto send = site.only<Send>();
     site.post(CallFailed { send.id, send.attempt, true, "reset" });
     CHECK(site.only<Refuse>().error.code == ResultCode::UpstreamFailed);
-    CHECK(left() == doctest::Approx(before - 200));
+    CHECK(remaining() == doctest::Approx(before - 200));
 }
 
 TEST_CASE("what is used is reported to all controllers, under the account's hash and with its limit")
 {
     LimitedSite site;
-    site.hear();
-    site.ask("/stream/x", 14s, {}, "k1");
-    site.wait(AccountQuotas::reportSoon);
-    auto report = site.only<ReportUse>().report;
-    CHECK((report.teller == LimitedSite::controller));
+    site.receiveTotals();
+    site.submit("/stream/x", 14s, {}, "k1");
+    site.wait(AccountQuotas::promptReportDelay);
+    auto report = site.only<ReportQuotaUsage>().report;
+    CHECK((report.totalsSource == LimitedSite::controller));
     REQUIRE(report.uses.size() == 1);
     CHECK((report.uses[0].account == accountId("desk")));
     CHECK(report.uses[0].amount == doctest::Approx(5800));
--- a/test/correctness/AdmissionTest.cpp
+++ b/test/correctness/AdmissionTest.cpp
@@ -61,7 +61,8 @@
 
     bool ask(std::uint64_t n, std::uint32_t prompt, std::uint32_t expected, std::uint32_t most)
     {
-        post(Ask { gateway, { RequestId { PeerId(1), n }, Attempt(1), "r" + std::to_string(n), prompt, expected, most, slots } });
+        post(ReservationRequested {
+            gateway, { RequestId { PeerId(1), n }, Attempt(1), "r" + std::to_string(n), prompt, expected, most, slots } });
         for (const auto& tell : told<ReservationReply>())
             return tell.isGranted;
         FAIL("no answer");
@@ -72,7 +73,7 @@
     {
         std::vector<T> list;
         for (const auto& effect : m_last) {
-            const auto* tell = std::get_if<Tell>(&effect);
+            const auto* tell = std::get_if<Send>(&effect);
             if (const auto* message = tell ? std::get_if<T>(&tell->message) : nullptr)
                 list.push_back(*message);
         }
@@ -102,7 +103,7 @@
     // The further an answer has come, the more likely it gets to the same length.
     CHECK(lengths.survival(1000, 1500, 2000) > lengths.survival(1000, 500, 2000));
     for (int i = 0; i < 600; ++i)
-        lengths.note(1000, 2000);
+        lengths.record(1000, 2000);
     CHECK(lengths.survival(1000, 0, 1700) > 0.85);
     CHECK(lengths.survival(1000, 0, 2400) < 0.1);
     // One beyond all that were seen has an end as well.
@@ -172,7 +173,7 @@
         }
         for (auto id : ended) {
             runs.erase(id);
-            beside.post(Ended { gateway, { RequestId { PeerId(1), id }, true } });
+            beside.post(ReservationEnded { gateway, { RequestId { PeerId(1), id }, true } });
         }
         beside.read();
         sum += static_cast<double>(runs.size());
@@ -185,23 +186,23 @@
 TEST_CASE("a reservation counts until its run has ended, or until it lapses")
 {
     Beside beside;
-    auto whole = beside.logic().room();
+    auto whole = beside.logic().headroom();
     CHECK(whole == memory);
     REQUIRE(beside.ask(1, 20000, 100, 200));
-    CHECK(beside.logic().room() < whole - 19000);
+    CHECK(beside.logic().headroom() < whole - 19000);
     // Asked for again by a resend, it counts once.
     REQUIRE(beside.ask(1, 20000, 100, 200));
     CHECK(beside.logic().runs() == 1);
-    beside.post(Ended { gateway, { RequestId { PeerId(1), 1 }, false } });
-    CHECK(beside.logic().room() == whole);
+    beside.post(ReservationEnded { gateway, { RequestId { PeerId(1), 1 }, false } });
+    CHECK(beside.logic().headroom() == whole);
     REQUIRE(beside.ask(2, 20000, 100, 200));
     for (Duration d {}; d <= EngineAdmission::unusedLimit; d += EngineAdmission::readEvery)
         beside.read();
-    CHECK(beside.logic().room() == whole);
+    CHECK(beside.logic().headroom() == whole);
     // A gateway that is gone takes what it has not begun with it.
     REQUIRE(beside.ask(3, 20000, 100, 200));
     beside.post(GatewayDown { gateway });
-    CHECK(beside.logic().room() == whole);
+    CHECK(beside.logic().headroom() == whole);
 }
 
 TEST_CASE("what others hold of the memory is not given away, and runs that nobody reserved for count as they are")
@@ -211,7 +212,7 @@
     beside.report.runs = { { "unknown", 30000, 0 } };
     beside.read();
     CHECK(beside.logic().runs() == 1);
-    CHECK(beside.logic().room() <= memory - 70000);
+    CHECK(beside.logic().headroom() <= memory - 70000);
     CHECK(!beside.ask(1, 9000, 100, 200));
     CHECK(beside.ask(2, 5000, 100, 200));
 }
@@ -223,7 +224,7 @@
     Beside beside;
     beside.report.waiting = 1;
     beside.read();
-    CHECK(beside.logic().room() == 0);
+    CHECK(beside.logic().headroom() == 0);
     CHECK(!beside.ask(1, 100, 100, 200));
     beside.report.waiting = 0;
     beside.read();
@@ -237,7 +238,7 @@
     Beside beside;
     for (std::uint32_t i = 0; i < EngineAdmission::mostMisses; ++i)
         beside.miss();
-    CHECK(beside.logic().room() == 0);
+    CHECK(beside.logic().headroom() == 0);
     CHECK(!beside.ask(1, 100, 100, 200));
     auto back = beside.now;
     beside.read();
@@ -251,9 +252,9 @@
 {
     Beside beside;
     REQUIRE(beside.ask(1, 20000, 100, 200));
-    auto room = beside.logic().room();
+    auto headroom = beside.logic().headroom();
     beside.miss();
-    CHECK(beside.logic().room() == room);
+    CHECK(beside.logic().headroom() == headroom);
     CHECK(beside.ask(2, 20000, 100, 200));
 }
 
@@ -275,10 +276,10 @@
         return reads;
     };
     CHECK(readsIn(2s) <= 11);
-    CHECK(beside.logic().room() == 0);
+    CHECK(beside.logic().headroom() == 0);
     beside.report.isDecode = true;
     readsIn(250ms);
-    CHECK(beside.logic().room() > 0);
+    CHECK(beside.logic().headroom() > 0);
     CHECK(readsIn(2s) >= 38);
 }
 
@@ -287,21 +288,21 @@
     Beside beside;
     beside.now += EngineAdmission::tellAgainAfter;
     REQUIRE(beside.ask(1, 20000, 100, 200));
-    CHECK(beside.told<EngineRoom>().size() == 1);
+    CHECK(beside.told<EngineHeadroom>().size() == 1);
     beside.now += EngineAdmission::tellAgainAfter;
-    beside.post(Prefilling { gateway, { RequestId { PeerId(1), 9 }, 5000, false } });
-    REQUIRE(beside.told<EngineRoom>().size() == 1);
-    CHECK(beside.told<EngineRoom>().front().prefillBacklog == 5000);
+    beside.post(PrefillReported { gateway, { RequestId { PeerId(1), 9 }, 5000, false } });
+    REQUIRE(beside.told<EngineHeadroom>().size() == 1);
+    CHECK(beside.told<EngineHeadroom>().front().prefillBacklog == 5000);
     beside.now += EngineAdmission::tellAgainAfter;
-    beside.post(Prefilling { gateway, { RequestId { PeerId(1), 9 }, 5000, true } });
-    REQUIRE(beside.told<EngineRoom>().size() == 1);
-    CHECK(beside.told<EngineRoom>().front().prefillBacklog == 0);
+    beside.post(PrefillReported { gateway, { RequestId { PeerId(1), 9 }, 5000, true } });
+    REQUIRE(beside.told<EngineHeadroom>().size() == 1);
+    CHECK(beside.told<EngineHeadroom>().front().prefillBacklog == 0);
     // Nothing new: nothing is said before a second has passed.
     auto saidAt = beside.now;
     int said = 0;
     while (beside.now - saidAt < EngineAdmission::tellEvery) {
         beside.read();
-        said += static_cast<int>(beside.told<EngineRoom>().size());
+        said += static_cast<int>(beside.told<EngineHeadroom>().size());
     }
     CHECK(said <= 1);
     CHECK(beside.logic().nextWake() > beside.now);
@@ -408,7 +409,7 @@
 {
     if (!beside.ask(n, 1000, 100, 200))
         return false;
-    beside.post(Ended { from, { RequestId { PeerId(1), n }, isWhole, !isWhole } });
+    beside.post(ReservationEnded { from, { RequestId { PeerId(1), n }, isWhole, !isWhole } });
     return true;
 }
 
@@ -431,18 +432,18 @@
 TEST_CASE("an engine that broke is tried by one request at a time, and used again after one that came to its end")
 {
     Beside beside;
-    for (std::uint64_t n = 1; n <= EngineTrust::mostBroken; ++n)
+    for (std::uint64_t n = 1; n <= EngineCircuitBreaker::failureThreshold; ++n)
         CHECK(ends(beside, n, n % 2 ? gateway : otherGateway, false));
-    beside.now += EngineTrust::firstPause;
+    beside.now += EngineCircuitBreaker::initialOpenTime;
     beside.read();
     CHECK(beside.ask(10, 1000, 100, 200));
     CHECK(!beside.ask(11, 1000, 100, 200));
-    beside.post(Ended { gateway, { RequestId { PeerId(1), 10 }, false, true } });
-    beside.now += EngineTrust::firstPause;
+    beside.post(ReservationEnded { gateway, { RequestId { PeerId(1), 10 }, false, true } });
+    beside.now += EngineCircuitBreaker::initialOpenTime;
     beside.read();
     // After each try that is broken too the pause is longer.
     CHECK(!beside.ask(12, 1000, 100, 200));
-    beside.now += EngineTrust::firstPause;
+    beside.now += EngineCircuitBreaker::initialOpenTime;
     beside.read();
     CHECK(ends(beside, 12, gateway, true));
     CHECK(beside.ask(13, 1000, 100, 200));
@@ -462,7 +463,7 @@
 TEST_CASE("an engine that has started again is trusted anew")
 {
     Beside beside;
-    for (std::uint64_t n = 1; n <= EngineTrust::mostBroken; ++n)
+    for (std::uint64_t n = 1; n <= EngineCircuitBreaker::failureThreshold; ++n)
         CHECK(ends(beside, n, n % 2 ? gateway : otherGateway, false));
     beside.miss();
     beside.miss();
--- a/test/correctness/DocumentTest.cpp
+++ b/test/correctness/DocumentTest.cpp
@@ -26,7 +26,7 @@
 }
 
 /// A text that nothing shortens.
-std::string noise(std::size_t n, unsigned seed)
+std::string randomText(std::size_t n, unsigned seed)
 {
     std::mt19937 random(seed);
     std::string text;
@@ -50,18 +50,18 @@
         : m_controllers(controllers)
     {
         for (auto& controller : m_controllers)
-            controller.source.meet(gateway);
+            controller.source.addPeer(gateway);
     }
     void apply(std::size_t i, std::uint64_t version, const std::string& text)
     {
         auto& history = m_controllers[i].history;
         history.apply(history.commandFor(version, text));
     }
-    void cut(std::size_t i) { m_controllers[i].isSilent = true; }
+    void setUnresponsive(std::size_t i) { m_controllers[i].isUnresponsive = true; }
     void offer(std::size_t i, bool isCurrent = true)
     {
         for (const auto& [to, offer] : m_controllers[i].source.offers(m_controllers[i].history, isCurrent, now))
-            step(document::FromPeer { peerOf(i), offer });
+            step(document::PeerMessage { peerOf(i), offer });
     }
     /// Answers questions until there is none; \returns how many parts that took.
     int answerAll()
@@ -73,15 +73,15 @@
     }
     bool answerOne()
     {
-        while (!m_asked.empty()) {
-            auto ask = m_asked.front();
-            m_asked.pop_front();
+        while (!m_requests.empty()) {
+            auto ask = m_requests.front();
+            m_requests.pop_front();
             auto& controller = m_controllers[ask.to.value() - 1];
-            auto part = controller.isSilent ? std::nullopt : controller.source.answer(ask.request, controller.history, now);
+            auto part = controller.isUnresponsive ? std::nullopt : controller.source.answer(ask.request, controller.history, now);
             if (!part)
                 continue;
             bytes += part->bytes.size();
-            step(document::FromPeer { ask.to, std::move(*part) });
+            step(document::PeerMessage { ask.to, std::move(*part) });
             return true;
         }
         return false;
@@ -90,9 +90,9 @@
     {
         for (auto& effect : follower.step(event, now)) {
             if (auto* ask = std::get_if<document::Ask>(&effect))
-                m_asked.push_back(*ask);
-            else if (auto* take = std::get_if<document::Take>(&effect))
-                taken.push_back(*take);
+                m_requests.push_back(*ask);
+            else if (auto* install = std::get_if<document::Install>(&effect))
+                installed.push_back(*install);
             else if (auto* confirm = std::get_if<document::Confirm>(&effect))
                 confirmed = confirm->version;
             else
@@ -104,7 +104,7 @@
     static constexpr PeerId gateway { 100 };
     Instant now = start;
     DocumentFollower follower { 1 };
-    std::vector<document::Take> taken;
+    std::vector<document::Install> installed;
     std::uint64_t confirmed = 0;
     std::size_t bytes = 0;
     int notes = 0;
@@ -113,10 +113,10 @@
     struct Controller {
         DocumentHistory history;
         DocumentSource source;
-        bool isSilent = false;
+        bool isUnresponsive = false;
     };
     std::vector<Controller> m_controllers;
-    std::deque<document::Ask> m_asked;
+    std::deque<document::Ask> m_requests;
 };
 
 } // namespace
@@ -127,9 +127,9 @@
         // Long texts with common parts in other places.
         std::string former, text;
         for (auto n : seedA)
-            former += noise(n, n % 7u);
+            former += randomText(n, n % 7u);
         for (auto n : seedB)
-            text += noise(n, n % 7u);
+            text += randomText(n, n % 7u);
         auto change = changeBetween(former, text);
         RC_ASSERT(applyChange(former, change) == text);
         RC_ASSERT(applyChange(former, decodeValue<TextChange>(encodeValue(change)).value()) == text);
@@ -202,9 +202,9 @@
         bench.offer(i);
     }
     CHECK(bench.answerAll() > 1);
-    REQUIRE(bench.taken.size() == 1);
-    CHECK(*bench.taken.back().text == textOf(1, 4000));
-    CHECK(bench.taken.back().isCurrent);
+    REQUIRE(bench.installed.size() == 1);
+    CHECK(*bench.installed.back().text == textOf(1, 4000));
+    CHECK(bench.installed.back().isCurrent);
     CHECK(bench.bytes < textOf(1, 4000).size() + 1000);
     bench.bytes = 0;
     for (std::size_t i = 0; i < 3; ++i) {
@@ -212,8 +212,8 @@
         bench.offer(i);
     }
     bench.answerAll();
-    REQUIRE(bench.taken.size() == 2);
-    CHECK(*bench.taken.back().text == textOf(2, 4000));
+    REQUIRE(bench.installed.size() == 2);
+    CHECK(*bench.installed.back().text == textOf(2, 4000));
     CHECK(bench.bytes < 500);
 }
 
@@ -222,9 +222,9 @@
     // Symptom: a gateway on a slow link never obeys a change. Sequence: documents change faster than the link carries one whole.
     // Cause: each new version makes the transfer begin anew.
     Bench bench(1);
-    bench.apply(0, 1, noise(300000, 1));
+    bench.apply(0, 1, randomText(300000, 1));
     bench.offer(0);
-    auto text = noise(300000, 1);
+    auto text = randomText(300000, 1);
     for (std::uint64_t version = 2; version <= 4; ++version) {
         REQUIRE(bench.answerOne());
         text += "x";
@@ -232,9 +232,9 @@
         bench.offer(0);
     }
     bench.answerAll();
-    REQUIRE(bench.taken.size() == 2);
-    CHECK(bench.taken.front().version == 1);
-    CHECK(*bench.taken.back().text == text);
+    REQUIRE(bench.installed.size() == 2);
+    CHECK(bench.installed.front().version == 1);
+    CHECK(*bench.installed.back().text == text);
 }
 
 TEST_CASE("a controller that does not answer is given up for another one")
@@ -242,8 +242,8 @@
     // Symptom: a gateway stays at an old version though controllers hold a newer one. Sequence: the controller that it asked is cut off
     // without a reset. Cause: nobody else was asked.
     Bench bench(2);
-    bench.cut(0);
-    bench.cut(1);
+    bench.setUnresponsive(0);
+    bench.setUnresponsive(1);
     for (std::size_t i = 0; i < 2; ++i) {
         bench.apply(i, 1, textOf(1));
         bench.offer(i);
@@ -266,44 +266,44 @@
     constexpr Duration latency = 1200ms;
     constexpr std::size_t controllers = 3;
     DocumentHistory history;
-    history.apply({ 1, noise(300000, 5), 0, {} });
+    history.apply({ 1, randomText(300000, 5), 0, {} });
     std::vector<DocumentSource> sources(controllers);
     struct Answer {
         Instant at;
         PeerId from;
         DocumentPart part;
     };
-    std::deque<Answer> underWay;
+    std::deque<Answer> inTransit;
     DocumentFollower follower(1);
     Instant now = start;
-    bool isTaken = false;
+    bool isInstalled = false;
     std::size_t parts = 0;
     auto step = [&](const document::Event& event) {
         for (auto& effect : follower.step(event, now)) {
-            isTaken = isTaken || std::holds_alternative<document::Take>(effect);
+            isInstalled = isInstalled || std::holds_alternative<document::Install>(effect);
             const auto* ask = std::get_if<document::Ask>(&effect);
             if (!ask)
                 continue;
             auto part = sources[ask->to.value() - 1].answer(ask->request, history, now);
             REQUIRE(part);
             ++parts;
-            underWay.push_back({ now + latency, ask->to, std::move(*part) });
+            inTransit.push_back({ now + latency, ask->to, std::move(*part) });
         }
     };
     for (std::size_t i = 0; i < controllers; ++i)
-        step(document::FromPeer { Bench::peerOf(i), DocumentOffer { 1, true } });
-    while (!isTaken && now < start + 60s) {
-        if (!underWay.empty() && underWay.front().at <= follower.nextWake()) {
-            auto answer = std::move(underWay.front());
-            underWay.pop_front();
+        step(document::PeerMessage { Bench::peerOf(i), DocumentOffer { 1, true } });
+    while (!isInstalled && now < start + 60s) {
+        if (!inTransit.empty() && inTransit.front().at <= follower.nextWake()) {
+            auto answer = std::move(inTransit.front());
+            inTransit.pop_front();
             now = answer.at;
-            step(document::FromPeer { answer.from, std::move(answer.part) });
+            step(document::PeerMessage { answer.from, std::move(answer.part) });
         } else {
             now = follower.nextWake();
             step(document::Tick {});
         }
     }
-    CHECK(isTaken);
+    CHECK(isInstalled);
     CHECK(parts < 15);
 }
 
@@ -311,7 +311,7 @@
 {
     // Symptom: a gateway that was cut off for an hour of small changes stands still for seconds when it is back. Cause: each step copies
     // and checks the whole text, and a part of the text's bytes held thousands of steps.
-    auto text = noise(100000, 7);
+    auto text = randomText(100000, 7);
     DocumentHistory history;
     for (std::uint64_t version = 1; version <= 600; ++version) {
         text[version * 100] = 'X';
@@ -325,14 +325,14 @@
 {
     Bench bench(2);
     for (std::size_t i = 0; i < 2; ++i) {
-        bench.apply(i, 1, noise(200000, 3));
+        bench.apply(i, 1, randomText(200000, 3));
         bench.offer(i);
     }
     REQUIRE(bench.answerOne());
     bench.step(document::PeerDown { Bench::peerOf(0) });
     bench.answerAll();
-    REQUIRE(bench.taken.size() == 1);
-    CHECK(*bench.taken.back().text == noise(200000, 3));
+    REQUIRE(bench.installed.size() == 1);
+    CHECK(*bench.installed.back().text == randomText(200000, 3));
 }
 
 TEST_CASE("an older version that a controller offers late is not gone back to, and does not confirm")
@@ -342,12 +342,12 @@
     bench.apply(0, 5, textOf(5));
     bench.offer(0, false);
     bench.answerAll();
-    REQUIRE(bench.taken.size() == 1);
-    CHECK_FALSE(bench.taken.back().isCurrent);
+    REQUIRE(bench.installed.size() == 1);
+    CHECK_FALSE(bench.installed.back().isCurrent);
     bench.apply(1, 4, textOf(4));
     bench.offer(1, true);
     bench.answerAll();
-    CHECK(bench.taken.size() == 1);
+    CHECK(bench.installed.size() == 1);
     CHECK(bench.confirmed == 5);
     // Offered as the newest, a version that is not here yet confirms nothing.
     bench.confirmed = 0;
@@ -355,7 +355,7 @@
     bench.offer(1, true);
     CHECK(bench.confirmed == 0);
     bench.answerAll();
-    CHECK(bench.taken.back().isCurrent);
+    CHECK(bench.installed.back().isCurrent);
 }
 
 TEST_CASE("steps that do not fit what a gateway holds make it ask for the whole")
@@ -367,11 +367,11 @@
     // A part that claims to be the steps and isn't.
     bench.apply(0, 2, textOf(2));
     bench.offer(0);
-    std::vector<DocumentStep> steps { { 1, 2, changeBetween(noise(9, 9), textOf(9)) } };
+    std::vector<DocumentStep> steps { { 1, 2, changeBetween(randomText(9, 9), textOf(9)) } };
     steps.front().change.checksum = 1;
     auto bytes = encodeValue(steps);
-    bench.step(document::FromPeer { Bench::peerOf(0), DocumentPart { 2, 1, 0, bytes.size(), bytes } });
+    bench.step(document::PeerMessage { Bench::peerOf(0), DocumentPart { 2, 1, 0, bytes.size(), bytes } });
     CHECK(bench.notes == 1);
     bench.answerAll();
-    CHECK(*bench.taken.back().text == textOf(2));
+    CHECK(*bench.installed.back().text == textOf(2));
 }
--- a/test/correctness/DoorTest.cpp
+++ b/test/correctness/DoorTest.cpp
@@ -91,8 +91,8 @@
     CHECK(RegistryBounds::refuses(registry, "unknown"));
     CHECK(!RegistryBounds::refuses(registry, "good"));
     // There is room again once the junk is no longer renewed.
-    now += ReplicaRegistry::forgetAfter + 1s;
-    registry.forgetOld(now);
+    now += ReplicaRegistry::expiredAfter + 1s;
+    registry.removeExpired(now);
     CHECK(announce(replica("late")));
 }
 
@@ -129,8 +129,8 @@
 
 TEST_CASE("a message whose fields can't be used is told from a proper one, with the field")
 {
-    CHECK(!faultOf(Message(Announced { replica("a"), 1s })));
-    CHECK(!faultOf(Message(Withdrawn { "a" })));
+    CHECK(!faultOf(Message(RelayedAnnouncement { replica("a"), 1s })));
+    CHECK(!faultOf(Message(ReplicaWithdrawn { "a" })));
     CHECK(!faultOf(Message(ControllerRoster { { "10.0.0.1:7", "::1:8" } })));
     Hello hello;
     hello.id = PeerId(7);
@@ -143,18 +143,18 @@
     hello.zone = "z\r\nx";
     CHECK(names(hello, "zone"));
     CHECK(names(Hello {}, "id"));
-    CHECK(names(Withdrawn { "" }, "id"));
-    CHECK(names(Withdrawn { std::string(1000, 'x') }, "id"));
-    CHECK(names(Announced { replica("a"), -5s }, "age"));
+    CHECK(names(ReplicaWithdrawn { "" }, "id"));
+    CHECK(names(ReplicaWithdrawn { std::string(1000, 'x') }, "id"));
+    CHECK(names(RelayedAnnouncement { replica("a"), -5s }, "age"));
     auto wrong = replica("a");
     wrong.address = "10.0.0.1:80\r\nHost: x";
-    CHECK(names(Announced { wrong, {} }, "address"));
+    CHECK(names(RelayedAnnouncement { wrong, {} }, "address"));
     wrong = replica("a");
     wrong.coldLeft = -1s;
-    CHECK(names(Announced { wrong, {} }, "coldLeft"));
+    CHECK(names(RelayedAnnouncement { wrong, {} }, "coldLeft"));
     wrong = replica("a");
     wrong.sequence = ~0ULL;
-    CHECK(names(Announced { wrong, {} }, "sequence"));
+    CHECK(names(RelayedAnnouncement { wrong, {} }, "sequence"));
     CHECK(names(RegistryHeartbeat { { { "a", -5s } }, 1 }, "age"));
     CHECK(names(EngineLoadReport { { { "app", { NAN, 0, {} } } } }, "services"));
     CHECK(names(EngineLoadReport { { { "app", { 0, INFINITY, {} } } } }, "services"));
--- a/test/correctness/EngineSubsetTest.cpp
+++ b/test/correctness/EngineSubsetTest.cpp
@@ -165,9 +165,9 @@
     void post(const Event& event)
     {
         for (const auto& effect : m_logic.step(event, now)) {
-            if (const auto* link = std::get_if<LinkSidecar>(&effect))
+            if (const auto* link = std::get_if<ConnectSidecar>(&effect))
                 links.insert(link->engineAddress);
-            else if (const auto* leave = std::get_if<LeaveSidecar>(&effect))
+            else if (const auto* leave = std::get_if<DisconnectSidecar>(&effect))
                 links.erase(leave->engineAddress);
         }
     }
@@ -179,7 +179,7 @@
         RegistryHeartbeat heartbeat;
         for (int n = 0; n < engines; ++n) {
             heartbeat.ages[engine(n, kindOf(n)).id] = Duration::zero();
-            heartbeat.startedAfter.push_back(0);
+            heartbeat.startOffsets.push_back(0);
         }
         heartbeat.gateways = 1;
         post(heartbeat);
@@ -200,7 +200,7 @@
     // sidecars, and is told of each change of room. Cause: what a gateway hears grew with the number of engines.
     Gateway gateway;
     for (int n = 0; n < 180; ++n)
-        gateway.post(Announced { engine(n, kindOf(n)), Duration::zero() });
+        gateway.post(RelayedAnnouncement { engine(n, kindOf(n)), Duration::zero() });
     for (int i = 0; i < 20; ++i)
         gateway.second(180);
     CHECK(gateway.links.size() == EngineSubset::prefillEngines + EngineSubset::decodeEngines);
@@ -212,7 +212,7 @@
     // good and say nothing. Cause: an address was forgotten only when its engine withdrew itself.
     Gateway gateway;
     for (int n = 0; n < 12; ++n)
-        gateway.post(Announced { engine(n, kindOf(n)), Duration::zero() });
+        gateway.post(RelayedAnnouncement { engine(n, kindOf(n)), Duration::zero() });
     CHECK(gateway.links.size() == 12);
     for (int i = 0; i < 25; ++i)
         gateway.second(10);
@@ -223,7 +223,7 @@
 {
     Gateway gateway;
     for (int n = 0; n < 12; ++n)
-        gateway.post(Announced { engine(n, kindOf(n)), Duration::zero() });
+        gateway.post(RelayedAnnouncement { engine(n, kindOf(n)), Duration::zero() });
     for (int i = 0; i < 60; ++i) {
         gateway.now += 1s;
         gateway.post(Tick {});
--- a/test/correctness/EstimateTest.cpp
+++ b/test/correctness/EstimateTest.cpp
@@ -43,18 +43,18 @@
         for (std::uint64_t running = 0; running <= slots; ++running) {
             QueueAdmission admission(slots, LinearCost(2ms, 20, 1000));
             auto table = tableOf(running, 60, now);
-            WaitOrder order;
-            QueueAdmission::Pass pass(admission, now);
+            WaitQueue order;
+            QueueAdmission::WaitPredictor predictor(admission, now);
             for (const auto& [key, work] : table) {
                 if (work.stage == WorkStage::Running)
-                    pass.addRunning(work);
+                    predictor.addRunning(work);
                 else
                     order.add(work);
             }
             for (const auto& key : order.keys()) {
                 const auto& work = table.at(key);
-                CHECK(pass.wait() == admission.predictedWait(table, work, now));
-                pass.addWaiting(work);
+                CHECK(predictor.wait() == admission.predictedWait(table, work, now));
+                predictor.addWaiting(work);
             }
         }
     }
@@ -91,20 +91,20 @@
 TEST_CASE("SlotForecast is sure of a request that is at its token limit")
 {
     RunningSlot slot { Instant(), 100, 99 };
-    CHECK(chanceOfFreeing({ &slot, 1 }, { 5s, 20ms }, 1, 20ms) == doctest::Approx(1));
+    CHECK(probabilityOfFreeing({ &slot, 1 }, { 5s, 20ms }, 1, 20ms) == doctest::Approx(1));
 }
 
 TEST_CASE("SlotForecast gives the example of its header")
 {
     std::vector<RunningSlot> slots(20, RunningSlot { Instant(), 100000, 0 });
-    CHECK(chanceOfFreeing(slots, { 5s, 20ms }, 1, 500ms) == doctest::Approx(0.865).epsilon(0.01));
-    CHECK(chanceOfFreeing(slots, { 5s, 20ms }, 3, 500ms) == doctest::Approx(0.32).epsilon(0.1));
+    CHECK(probabilityOfFreeing(slots, { 5s, 20ms }, 1, 500ms) == doctest::Approx(0.865).epsilon(0.01));
+    CHECK(probabilityOfFreeing(slots, { 5s, 20ms }, 3, 500ms) == doctest::Approx(0.32).epsilon(0.1));
 }
 
 TEST_CASE("SlotForecast can't free more slots than run")
 {
     std::vector<RunningSlot> slots(2, RunningSlot { Instant(), 100000, 0 });
-    CHECK(chanceOfFreeing(slots, { 1s, 20ms }, 3, 100s) == 0);
+    CHECK(probabilityOfFreeing(slots, { 1s, 20ms }, 3, 100s) == 0);
     CHECK(expectedTimeToFree({}, { 1s, 20ms }, 0) == Duration::zero());
 }
 
@@ -121,7 +121,7 @@
 {
     PrefixIndex index;
     std::vector<std::uint64_t> blocks { 1, 2, 3 };
-    index.learn(std::vector<std::uint64_t> { 1, 3 }, PeerId(7));
+    index.recordBlocks(std::vector<std::uint64_t> { 1, 3 }, PeerId(7));
     CHECK(index.cachedTokens(blocks, PeerId(7)) == PrefixIndex::tokensPerBlock);
     CHECK(index.cachedTokens(blocks, PeerId(8)) == 0);
 }
@@ -130,10 +130,10 @@
 {
     PrefixIndex index;
     std::vector<std::uint64_t> blocks { 1, 2, 3 };
-    index.learn(blocks, PeerId(7));
-    index.correct(blocks, PeerId(7), 1);
+    index.recordBlocks(blocks, PeerId(7));
+    index.truncate(blocks, PeerId(7), 1);
     CHECK(index.cachedTokens(blocks, PeerId(7)) == PrefixIndex::tokensPerBlock);
-    index.forget(PeerId(7));
+    index.removeReplica(PeerId(7));
     CHECK(index.cachedTokens(blocks, PeerId(7)) == 0);
 }
 
@@ -141,7 +141,7 @@
 {
     PrefixIndex index(10);
     for (std::uint64_t i = 0; i < 100; ++i)
-        index.learn(std::vector<std::uint64_t> { i }, PeerId(1));
+        index.recordBlocks(std::vector<std::uint64_t> { i }, PeerId(1));
     CHECK(index.cachedTokens(std::vector<std::uint64_t> { 0 }, PeerId(1)) == 0);
     CHECK(index.cachedTokens(std::vector<std::uint64_t> { 99 }, PeerId(1)) > 0);
 }
--- a/test/correctness/ForwardTest.cpp
+++ b/test/correctness/ForwardTest.cpp
@@ -10,17 +10,17 @@
 TEST_CASE("before a document is known requests are refused as not run, never as unknown")
 {
     Bench bench;
-    bench.ask("/once/x", 800ms);
-    CHECK(bench.did<Refuse>().empty());
+    bench.submit("/once/x", 800ms);
+    CHECK(bench.effects<Refuse>().empty());
     bench.wait(199ms);
-    CHECK(bench.did<Refuse>().empty());
+    CHECK(bench.effects<Refuse>().empty());
     bench.wait(1ms);
     CHECK(bench.only<Refuse>().error.code == ResultCode::ConfigUnavailable);
     CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 503);
     CHECK(bench.only<Refuse>().error.retryAfter);
     CHECK(!bench.logic().isServing(bench.now));
-    bench.ask("/stream/x", 14s);
-    bench.wait(ForwardLogic::holdForDocumentLimit);
+    bench.submit("/stream/x", 14s);
+    bench.wait(ForwardLogic::maxDocumentWait);
     CHECK(bench.only<Refuse>().error.code == ResultCode::ConfigUnavailable);
     CHECK(bench.finished() == 2);
 }
@@ -31,12 +31,12 @@
     // and come back too late for their target. Cause: every request before the document was refused at once.
     Bench bench;
     bench.replica("r1");
-    auto id = bench.ask("/once/x", 600ms);
-    bench.ask("/nowhere/x", 600ms);
-    auto gone = bench.ask("/once/y", 600ms);
-    bench.post(CallerGone { gone });
+    auto id = bench.submit("/once/x", 600ms);
+    bench.submit("/nowhere/x", 600ms);
+    auto gone = bench.submit("/once/y", 600ms);
+    bench.post(CallerDisconnected { gone });
     bench.now += 100ms;
-    bench.post(TakeDocument { document(1), true });
+    bench.post(DocumentReceived { document(1), true });
     CHECK((bench.only<Send>().id == id));
     CHECK(bench.only<Send>().timeLeft == 500ms);
     CHECK(bench.only<Refuse>().error.code == ResultCode::UnknownService);
@@ -49,13 +49,13 @@
 {
     Bench bench;
     bench.replica("r1");
-    bench.post(TakeDocument { document(1), false });
-    bench.now += ForwardLogic::unconfirmedWait - 100ms;
-    bench.ask("/once/x", 600ms);
-    CHECK(bench.did<Send>().empty());
+    bench.post(DocumentReceived { document(1), false });
+    bench.now += ForwardLogic::unconfirmedDocumentDelay - 100ms;
+    bench.submit("/once/x", 600ms);
+    CHECK(bench.effects<Send>().empty());
     CHECK(bench.logic().nextWake() == bench.now + 100ms);
     bench.wait(100ms);
-    CHECK(bench.did<Send>().size() == 1);
+    CHECK(bench.effects<Send>().size() == 1);
 }
 
 TEST_CASE("a document that nobody confirms is used after a while, and an older one never replaces a newer one")
@@ -63,13 +63,13 @@
     // Symptom: a gateway that has just started serves by routes that were removed. Sequence: it links to a controller that was
     // cut off first, and takes its document for the newest.
     Bench bench;
-    bench.post(TakeDocument { document(5), false });
+    bench.post(DocumentReceived { document(5), false });
     CHECK(!bench.logic().isServing(bench.now));
-    bench.post(TakeDocument { document(3), true });
+    bench.post(DocumentReceived { document(3), true });
     CHECK(!bench.logic().isServing(bench.now));
     CHECK(bench.logic().documentVersion() == 5);
-    CHECK(bench.logic().isServing(bench.now + ForwardLogic::unconfirmedWait + 1ms));
-    bench.post(ConfirmDocument { 5 });
+    CHECK(bench.logic().isServing(bench.now + ForwardLogic::unconfirmedDocumentDelay + 1ms));
+    bench.post(DocumentConfirmed { 5 });
     CHECK(bench.logic().isServing(bench.now));
 }
 
@@ -77,7 +77,7 @@
 {
     Bench bench;
     bench.serve().replica("a");
-    bench.ask("/nowhere/");
+    bench.submit("/nowhere/");
     CHECK(bench.only<Refuse>().error.code == ResultCode::UnknownService);
 }
 
@@ -86,10 +86,10 @@
     // Symptom: an escort is sent twice. Sequence: the replica runs the call and its answer is lost with the connection.
     Bench bench;
     bench.serve().replica("a").replica("b");
-    bench.ask("/once/x");
+    bench.submit("/once/x");
     auto send = bench.only<Send>();
     bench.post(CallFailed { send.id, send.attempt, true, "reset" });
-    CHECK(bench.did<Send>().empty());
+    CHECK(bench.effects<Send>().empty());
     CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 502);
     CHECK(!bench.only<Refuse>().error.retryAfter);
 }
@@ -99,7 +99,7 @@
     for (bool isOther : { false, true }) {
         Bench bench;
         bench.serve().replica("a").replica("b");
-        bench.ask("/once/x");
+        bench.submit("/once/x");
         auto first = bench.only<Send>();
         bench.answer(first, isOther ? 421 : 503, true, isOther);
         auto second = bench.only<Send>();
@@ -114,12 +114,12 @@
 {
     Bench bench;
     bench.serve().replica("a");
-    bench.ask("/once/x");
+    bench.submit("/once/x");
     bench.answer(bench.only<Send>(), 421, true, true);
     CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 503);
     bench.replica("a", UpstreamKind::Plain, 9);
-    bench.ask("/once/x");
-    CHECK(bench.did<Send>().empty());
+    bench.submit("/once/x");
+    CHECK(bench.effects<Send>().empty());
 }
 
 TEST_CASE("\"not run\" is said only if no send may have run")
@@ -128,7 +128,7 @@
     // next one refuses, and only the last outcome is looked at.
     Bench bench;
     bench.serve().replica("a").replica("b");
-    bench.ask("/often/x");
+    bench.submit("/often/x");
     auto first = bench.only<Send>();
     bench.post(CallFailed { first.id, first.attempt, true, "reset" });
     bench.answer(bench.only<Send>(), 503, true);
@@ -139,15 +139,15 @@
 {
     Bench bench;
     bench.serve().replica("a").replica("b").replica("c");
-    bench.ask("/often/x");
+    bench.submit("/often/x");
     auto first = bench.only<Send>();
     bench.answer(first, 500);
     auto second = bench.only<Send>();
     CHECK((second.replica != first.replica));
     bench.answer(first, 200);
-    CHECK(bench.did<Reply>().empty());
+    CHECK(bench.effects<Reply>().empty());
     bench.answer(second, 500);
-    CHECK(bench.did<Send>().empty());
+    CHECK(bench.effects<Send>().empty());
     CHECK(bench.only<Reply>().status == 500);
 }
 
@@ -155,7 +155,7 @@
 {
     Bench bench;
     bench.serve().replica("a").replica("b");
-    bench.ask("/often/x");
+    bench.submit("/often/x");
     auto first = bench.only<Send>();
     bench.wait(60ms);
     CHECK((bench.only<CancelCall>().attempt == first.attempt));
@@ -166,9 +166,9 @@
 {
     Bench bench;
     bench.serve().replica("a");
-    bench.ask("/once/x");
+    bench.submit("/once/x");
     bench.answer(bench.only<Send>(), 200, false, false, false);
-    CHECK(bench.did<Reply>().empty());
+    CHECK(bench.effects<Reply>().empty());
     CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 502);
 }
 
@@ -176,7 +176,7 @@
 {
     Bench bench;
     bench.serve().replica("a");
-    bench.ask("/once/x", 5s);
+    bench.submit("/once/x", 5s);
     auto send = bench.only<Send>();
     CHECK(send.timeLeft == 600ms);
     bench.wait(600ms);
@@ -190,7 +190,7 @@
 {
     Bench bench;
     bench.serve().replica("a").replica("b");
-    bench.ask("/often/x", 300ms);
+    bench.submit("/often/x", 300ms);
     auto first = bench.only<Send>();
     CHECK(first.timeLeft == 300ms);
     bench.now += 40ms;
@@ -203,9 +203,9 @@
     Bench bench;
     bench.serve().replica("a").replica("b");
     bench.replica("a", UpstreamKind::Plain, 5, ReplicaState::Draining).replica("a", UpstreamKind::Plain, 4);
-    bench.post(Withdrawn { "b" });
+    bench.post(ReplicaWithdrawn { "b" });
     bench.replica("b", UpstreamKind::Plain, 9);
-    bench.ask("/once/x");
+    bench.submit("/once/x");
     CHECK(bench.only<Refuse>().error.code == ResultCode::NoUpstream);
 }
 
@@ -215,25 +215,25 @@
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
     SUBCASE("while the place is asked for")
     {
-        auto id = bench.ask("/stream/x");
-        bench.post(CallerGone { id });
-        CHECK(bench.did<CancelCall>().size() == 1);
+        auto id = bench.submit("/stream/x");
+        bench.post(CallerDisconnected { id });
+        CHECK(bench.effects<CancelCall>().size() == 1);
     }
     SUBCASE("while the prompt is read")
     {
-        auto id = bench.ask("/stream/x");
-        auto take = bench.only<TakePlace>();
-        bench.post(PlaceTaken { take.id, take.attempt, "place-1" });
-        bench.post(CallerGone { id });
-        CHECK(bench.did<CancelCall>().size() == 1);
-        CHECK(bench.only<DropPlace>().place.id == "place-1");
+        auto id = bench.submit("/stream/x");
+        auto take = bench.only<ReserveAtReplica>();
+        bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
+        bench.post(CallerDisconnected { id });
+        CHECK(bench.effects<CancelCall>().size() == 1);
+        CHECK(bench.only<ReleaseReservation>().reservation.id == "place-1");
     }
     SUBCASE("while the answer streams")
     {
-        auto id = bench.ask("/stream/x");
+        auto id = bench.submit("/stream/x");
         auto send = bench.run(id);
         bench.streamHead(send);
-        bench.post(CallerGone { id });
+        bench.post(CallerDisconnected { id });
         CHECK((bench.only<CancelCall>().attempt == send.attempt));
     }
     CHECK(bench.logic().requests() == 0);
@@ -246,11 +246,11 @@
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
-    auto id = bench.ask("/stream/x");
-    CHECK(bench.only<TakePlace>().tokens == 5000 + 1.3 * 400);
+    auto id = bench.submit("/stream/x");
+    CHECK(bench.only<ReserveAtReplica>().tokens == 5000 + 1.3 * 400);
     auto send = bench.run(id);
     CHECK(send.replica.id == "d");
-    CHECK(send.place == "place-1");
+    CHECK(send.reservation == "place-1");
     REQUIRE(send.source);
     CHECK(send.source->address == "p:80");
     CHECK(send.source->handle == "kv-1");
@@ -260,15 +260,15 @@
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
-    bench.ask("/stream/x");
-    auto take = bench.only<TakePlace>();
-    bench.post(PlaceTaken { take.id, take.attempt, "place-1" });
+    bench.submit("/stream/x");
+    auto take = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
     auto prefill = bench.only<Send>();
     bench.post(CallFailed { prefill.id, prefill.attempt, true, "reset" });
     auto send = bench.only<Send>();
     CHECK(send.replica.id == "d");
     CHECK(!send.source);
-    CHECK(send.place == "place-1");
+    CHECK(send.reservation == "place-1");
 }
 
 TEST_CASE("a prefill that surely was not accepted is asked of another replica, one that may have been is not")
@@ -279,13 +279,13 @@
     for (auto answer : { Answer::NoConnection, Answer::StatedNotRun, Answer::Lost }) {
         Bench bench;
         bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill).replica("q", UpstreamKind::Prefill);
-        auto id = bench.ask("/stream/x");
-        auto take = bench.only<TakePlace>();
-        bench.post(PlaceTaken { id, take.attempt, "place-1" });
+        auto id = bench.submit("/stream/x");
+        auto take = bench.only<ReserveAtReplica>();
+        bench.post(ReservationGranted { id, take.attempt, "place-1" });
         auto first = bench.only<Send>();
         REQUIRE(first.isPrefill);
         if (answer == Answer::StatedNotRun)
-            bench.post(PromptNotRead { id, first.attempt, true });
+            bench.post(PrefillFailed { id, first.attempt, true });
         else
             bench.post(CallFailed { id, first.attempt, answer == Answer::Lost, "" });
         auto second = bench.only<Send>();
@@ -295,7 +295,7 @@
             continue;
         bench.post(CallFailed { id, second.attempt, false, "" });
         CHECK(!bench.only<Send>().isPrefill);
-        CHECK(bench.only<Send>().place == "place-1");
+        CHECK(bench.only<Send>().reservation == "place-1");
     }
 }
 
@@ -307,13 +307,13 @@
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill).replica("q", UpstreamKind::Prefill);
     auto left = [&bench] { return bench.logic().retryBudget(bench.now).at("engine"); };
-    auto id = bench.ask("/stream/x");
+    auto id = bench.submit("/stream/x");
     auto whole = left();
-    bench.post(PlaceTaken { id, bench.only<TakePlace>().attempt, "place-1" });
-    bench.post(PromptNotRead { id, bench.only<Send>().attempt, true, true });
+    bench.post(ReservationGranted { id, bench.only<ReserveAtReplica>().attempt, "place-1" });
+    bench.post(PrefillFailed { id, bench.only<Send>().attempt, true, true });
     CHECK(left() == whole - 1);
     REQUIRE(bench.only<Send>().isPrefill);
-    bench.post(PromptNotRead { id, bench.only<Send>().attempt, true, true });
+    bench.post(PrefillFailed { id, bench.only<Send>().attempt, true, true });
     CHECK(left() == whole - 2);
     CHECK(!bench.only<Send>().isPrefill);
 }
@@ -325,14 +325,14 @@
     for (bool isReached : { true, false }) {
         Bench bench;
         bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
-        auto id = bench.ask("/stream/x");
+        auto id = bench.submit("/stream/x");
         auto first = bench.run(id);
         REQUIRE(first.source);
         bench.replica("e", UpstreamKind::Decode);
         if (isReached) {
-            AnswerFacts facts;
+            AnswerMetadata facts;
             facts.status = 421;
-            facts.wasNotRun = facts.isOtherReplica = true;
+            facts.wasNotRun = facts.isMisdirected = true;
             bench.post(AnswerHead { id, first.attempt, facts, {} });
             bench.post(AnswerEnd { id, first.attempt });
         } else {
@@ -353,18 +353,18 @@
     auto both = document(1);
     both.services[0].isEngine = true;
     both.services[0].engine = { 64, 60000, 0s, 500ms, 0s };
-    bench.post(TakeDocument { both, true });
+    bench.post(DocumentReceived { both, true });
     bench.post(RegistryHeartbeat { {}, 1 });
     bench.replica("r1");
     RequestId id { PeerId(1), 77 };
-    Ask ask;
-    ask.host = "desk.example";
-    ask.path = "/once/x";
-    ask.promptTokens = 500;
-    bench.post(Submit { id, ask });
+    RequestMetadata submit;
+    submit.host = "desk.example";
+    submit.path = "/once/x";
+    submit.promptTokens = 500;
+    bench.post(Submit { id, submit });
     auto read = bench.only<Send>();
     REQUIRE(read.isPrefill);
-    bench.post(PromptRead { id, read.attempt, "kv-1" });
+    bench.post(PrefillFinished { id, read.attempt, "kv-1" });
     CHECK(!bench.only<Send>().isPrefill);
     CHECK(bench.only<Send>().replica.id == "r1");
 }
@@ -374,14 +374,14 @@
     // Symptom: a first event after 2.7 s though nothing was full. Sequence: the prefill replica goes dark with the prompt.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
-    bench.ask("/stream/x");
-    auto take = bench.only<TakePlace>();
-    bench.post(PlaceTaken { take.id, take.attempt, "place-1" });
+    bench.submit("/stream/x");
+    auto take = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
     auto prefill = bench.only<Send>();
     bench.wait(650ms);
     CHECK(bench.only<CancelCall>().attempt == prefill.attempt);
     auto send = bench.only<Send>();
-    CHECK(send.place == "place-1");
+    CHECK(send.reservation == "place-1");
     CHECK(!send.isPrefill);
 }
 
@@ -391,13 +391,13 @@
     // while a kept connection to it stays open, and is asked for a place over that. Cause: the question had no time limit.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode);
-    bench.ask("/stream/x");
-    auto first = bench.only<TakePlace>();
+    bench.submit("/stream/x");
+    auto first = bench.only<ReserveAtReplica>();
     bench.wait(130ms);
     CHECK((bench.only<CancelCall>().attempt == first.attempt));
-    auto second = bench.only<TakePlace>();
+    auto second = bench.only<ReserveAtReplica>();
     CHECK((second.replica != first.replica));
-    bench.post(PlaceTaken { second.id, second.attempt, "place-1" });
+    bench.post(ReservationGranted { second.id, second.attempt, "place-1" });
     CHECK((bench.only<Send>().replica == second.replica));
 }
 
@@ -405,11 +405,11 @@
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode);
-    bench.ask("/stream/x");
-    for (int i = 0; i < 30 && bench.did<Refuse>().empty(); ++i) {
-        for (const auto& take : bench.did<TakePlace>())
-            bench.post(PlaceRefused { take.id, take.attempt, true });
-        CHECK(bench.did<Send>().empty());
+    bench.submit("/stream/x");
+    for (int i = 0; i < 30 && bench.effects<Refuse>().empty(); ++i) {
+        for (const auto& take : bench.effects<ReserveAtReplica>())
+            bench.post(ReservationRefused { take.id, take.attempt, true });
+        CHECK(bench.effects<Send>().empty());
         bench.wait(40ms);
     }
     auto refuse = bench.only<Refuse>();
@@ -424,14 +424,14 @@
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode);
-    bench.ask("/stream/first", 14s);
-    auto first = bench.only<TakePlace>();
-    bench.post(PlaceRefused { first.id, first.attempt, true });
-    auto late = bench.ask("/stream/late", 9s);
-    auto fresh = bench.ask("/stream/fresh", 14s);
-    CHECK(bench.did<TakePlace>().empty());
+    bench.submit("/stream/first", 14s);
+    auto first = bench.only<ReserveAtReplica>();
+    bench.post(ReservationRefused { first.id, first.attempt, true });
+    auto late = bench.submit("/stream/late", 9s);
+    auto fresh = bench.submit("/stream/fresh", 14s);
+    CHECK(bench.effects<ReserveAtReplica>().empty());
     bench.wait(41ms);
-    auto takes = bench.did<TakePlace>();
+    auto takes = bench.effects<ReserveAtReplica>();
     REQUIRE(takes.size() == 3);
     CHECK((takes[0].id == first.id));
     CHECK((takes[1].id == fresh));
@@ -443,27 +443,27 @@
     // Symptom: a client's parser fails on half an event. Sequence: the replica crashes inside one.
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode);
-    auto id = bench.ask("/stream/x");
-    auto take = bench.only<TakePlace>();
-    bench.post(PlaceTaken { take.id, take.attempt, "place-1" });
+    auto id = bench.submit("/stream/x");
+    auto take = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
     auto send = bench.only<Send>();
     bench.streamHead(send);
     bench.post(AnswerBody { id, send.attempt, "id: 1\ndata: a\n\nid: 2\nda" });
-    CHECK(bench.did<BeginStream>().size() == 1);
+    CHECK(bench.effects<BeginStream>().size() == 1);
     CHECK(bench.only<StreamBytes>().bytes == "id: 1\ndata: a\n\n");
     SUBCASE("the connection fails") { bench.post(CallFailed { id, send.attempt, true, "reset" }); }
     SUBCASE("the answer ends as if complete") { bench.post(AnswerEnd { id, send.attempt }); }
-    CHECK(bench.did<EndStream>().empty());
-    CHECK(bench.did<BreakStream>().size() == 1);
+    CHECK(bench.effects<EndStream>().empty());
+    CHECK(bench.effects<AbortStream>().size() == 1);
 }
 
 TEST_CASE("a resumable stream goes on at another replica after its last whole event, and repeats none")
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode);
-    auto id = bench.ask("/resumable/x");
-    auto take = bench.only<TakePlace>();
-    bench.post(PlaceTaken { take.id, take.attempt, "place-1" });
+    auto id = bench.submit("/resumable/x");
+    auto take = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
     auto first = bench.only<Send>();
     bench.streamHead(first);
     bench.post(AnswerBody { id, first.attempt, "id: 1\ndata: a\n\nid: 2\nda" });
@@ -473,10 +473,10 @@
     CHECK(second.resumeAfter == 1);
     bench.streamHead(second);
     bench.post(AnswerBody { id, second.attempt, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n" });
-    CHECK(bench.did<BeginStream>().empty());
+    CHECK(bench.effects<BeginStream>().empty());
     CHECK(bench.only<StreamBytes>().bytes == "id: 2\ndata: b\n\n");
     bench.post(AnswerEnd { id, second.attempt });
-    CHECK(bench.did<EndStream>().size() == 1);
+    CHECK(bench.effects<EndStream>().size() == 1);
 }
 
 TEST_CASE("a resend copies what the prefill replica still keeps of the prompt, as long as that one is sound")
@@ -487,11 +487,11 @@
     for (bool isReaderThere : { true, false }) {
         Bench bench;
         bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
-        auto id = bench.ask("/resumable/x");
+        auto id = bench.submit("/resumable/x");
         auto first = bench.run(id);
         CHECK(first.cacheAddress.empty());
         if (!isReaderThere)
-            bench.post(Withdrawn { "p" });
+            bench.post(ReplicaWithdrawn { "p" });
         bench.post(CallFailed { id, first.attempt, true, "reset" });
         auto second = bench.only<Send>();
         CHECK(!second.source);
@@ -503,7 +503,7 @@
 {
     Bench bench;
     bench.serve().replica("a");
-    bench.ask("/often/x");
+    bench.submit("/often/x");
     auto send = bench.only<Send>();
     bench.post(CallFailed { send.id, send.attempt, false, "refused" });
     CHECK(bench.only<Refuse>().error.code == ResultCode::NoUpstream);
@@ -519,27 +519,27 @@
     Bench bench;
     auto limited = document(1);
     limited.services[0].maxConnections = 10;
-    bench.post(TakeDocument { limited, true });
+    bench.post(DocumentReceived { limited, true });
     bench.post(RegistryHeartbeat { {}, 4 });
     bench.replica("r1").replica("r2");
     std::map<std::string, int> calls;
     for (int i = 0; i < 4; ++i) {
-        bench.ask("/once/x");
+        bench.submit("/once/x");
         ++calls[bench.only<Send>().replica.id];
     }
     CHECK(calls == std::map<std::string, int> { { "r1", 2 }, { "r2", 2 } });
-    bench.ask("/once/x");
-    CHECK(bench.did<Send>().empty());
+    bench.submit("/once/x");
+    CHECK(bench.effects<Send>().empty());
     CHECK(bench.only<Refuse>().error.code == ResultCode::Overloaded);
     CHECK(bench.only<Refuse>().error.retryAfter);
     // Fewer gateways, larger shares, once no others can be left that go by the former number.
     bench.post(RegistryHeartbeat { {}, 1 });
-    bench.ask("/once/x");
-    CHECK(bench.did<Send>().empty());
+    bench.submit("/once/x");
+    CHECK(bench.effects<Send>().empty());
     bench.now += 11s;
     bench.post(RegistryHeartbeat { {}, 1 });
-    bench.ask("/once/x");
-    CHECK(bench.did<Send>().size() == 1);
+    bench.submit("/once/x");
+    CHECK(bench.effects<Send>().size() == 1);
 }
 
 TEST_CASE("a resend that the budget does not allow is not made")
@@ -548,12 +548,12 @@
     bench.serve().replica("a").replica("b").replica("c");
     int resends = 0;
     for (int i = 0; i < 200; ++i) {
-        bench.ask("/often/x");
+        bench.submit("/often/x");
         auto send = bench.only<Send>();
         bench.post(CallFailed { send.id, send.attempt, true, "reset" });
-        resends += static_cast<int>(bench.did<Send>().size());
-        for (const auto& again : bench.did<Send>())
-            bench.post(CallerGone { again.id });
+        resends += static_cast<int>(bench.effects<Send>().size());
+        for (const auto& again : bench.effects<Send>())
+            bench.post(CallerDisconnected { again.id });
     }
     CHECK(resends <= 0.2 * 200 + 60);
     CHECK(resends >= 20);
@@ -565,12 +565,12 @@
 void serveStreams(Bench& bench, std::size_t n, Duration afterFirst)
 {
     for (std::size_t i = 0; i < n; ++i) {
-        auto send = bench.run(bench.ask("/stream/x", 14s));
+        auto send = bench.run(bench.submit("/stream/x", 14s));
         bench.streamHead(send);
         bench.post(AnswerBody { send.id, send.attempt, "id: 1\ndata: a\n\n" });
         bench.now += afterFirst;
         bench.post(AnswerEnd { send.id, send.attempt });
-        REQUIRE(bench.did<EndStream>().size() == 1);
+        REQUIRE(bench.effects<EndStream>().size() == 1);
     }
 }
 
@@ -585,30 +585,30 @@
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode).replica("a");
     bench.post(Stop { bench.now + stopLimit });
-    bench.ask("/stream/x", 14s);
+    bench.submit("/stream/x", 14s);
     auto refusal = bench.only<Refuse>();
     CHECK(refusal.error.code == ResultCode::Draining);
     CHECK(httpStatusOf(refusal.error.code) == 503);
     REQUIRE(refusal.error.retryAfter);
     CHECK(*refusal.error.retryAfter <= 10ms);
     // What ends in time whatever happens, or is no stream, is served.
-    bench.ask("/stream/x", 7s);
-    CHECK(bench.did<TakePlace>().size() == 1);
-    bench.ask("/once/x");
-    CHECK(bench.did<Send>().size() == 1);
+    bench.submit("/stream/x", 7s);
+    CHECK(bench.effects<ReserveAtReplica>().size() == 1);
+    bench.submit("/once/x");
+    CHECK(bench.effects<Send>().size() == 1);
 }
 
 TEST_CASE("a gateway that stops serves the streams that hardly ever last longer than it")
 {
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
-    serveStreams(bench, StreamForecast::needed, 6s);
+    serveStreams(bench, StreamForecast::minSamples, 6s);
     bench.post(Stop { bench.now + stopLimit });
-    bench.ask("/stream/x", 14s);
-    CHECK(bench.did<Refuse>().empty());
-    CHECK(bench.did<TakePlace>().size() == 1);
+    bench.submit("/stream/x", 14s);
+    CHECK(bench.effects<Refuse>().empty());
+    CHECK(bench.effects<ReserveAtReplica>().size() == 1);
     bench.now += 2s;
-    bench.ask("/stream/x", 14s);
+    bench.submit("/stream/x", 14s);
     CHECK(bench.only<Refuse>().error.code == ResultCode::Draining);
 }
 
@@ -619,11 +619,11 @@
     // caller which another stopping gateway had refused, and such a one was served unless its stream was more likely cut than not.
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
-    serveStreams(bench, StreamForecast::needed, 2s);
+    serveStreams(bench, StreamForecast::minSamples, 2s);
     serveStreams(bench, 1, 9s);
     bench.post(Stop { bench.now + stopLimit });
     for (Duration less : { Duration(0), Duration(50ms), Duration(1s), Duration(2s) }) {
-        bench.ask("/stream/x", 14s - less);
+        bench.submit("/stream/x", 14s - less);
         CHECK(bench.only<Refuse>().error.code == ResultCode::Draining);
     }
 }
@@ -634,19 +634,19 @@
     // Sequence: callers' patience differs by 15%. Cause: each that brought less than the most was taken for one that had come back.
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
-    bench.run(bench.ask("/stream/x", 14s));
-    auto isRefusedAfter = [&bench](Duration patience, Duration wait) {
-        bench.ask("/stream/x", patience);
-        auto take = bench.only<TakePlace>();
-        bench.post(PlaceRefused { take.id, take.attempt, true });
+    bench.run(bench.submit("/stream/x", 14s));
+    auto isRefusedAfter = [&bench](Duration callerTimeout, Duration wait) {
+        bench.submit("/stream/x", callerTimeout);
+        auto take = bench.only<ReserveAtReplica>();
+        bench.post(ReservationRefused { take.id, take.attempt, true });
         bench.wait(wait);
-        bool isRefused = !bench.did<Refuse>().empty();
-        bench.post(CallerGone { take.id });
+        bool isRefused = !bench.effects<Refuse>().empty();
+        bench.post(CallerDisconnected { take.id });
         return isRefused;
     };
-    for (Duration patience : { Duration(13900ms), Duration(12900ms), Duration(11900ms) })
-        CHECK(!isRefusedAfter(patience, 200ms));
-    CHECK(isRefusedAfter(14s - ForwardLogic::soonestReturn, 200ms));
+    for (Duration callerTimeout : { Duration(13900ms), Duration(12900ms), Duration(11900ms) })
+        CHECK(!isRefusedAfter(callerTimeout, 200ms));
+    CHECK(isRefusedAfter(14s - ForwardLogic::minOverloadRetryAfter, 200ms));
 }
 
 TEST_CASE("a caller that has made a new connection is not taken for one that has come back")
@@ -656,9 +656,9 @@
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     bench.post(Stop { bench.now + stopLimit });
-    bench.ask("/stream/x", 14s);
+    bench.submit("/stream/x", 14s);
     CHECK(bench.only<Refuse>().error.code == ResultCode::Draining);
-    bench.ask("/stream/x", 14s - 12ms);
+    bench.submit("/stream/x", 14s - 12ms);
     CHECK(bench.only<Refuse>().error.code == ResultCode::Draining);
 }
 
@@ -666,10 +666,10 @@
 {
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
-    bench.ask("/stream/x", 14s);
-    auto take = bench.only<TakePlace>();
-    bench.post(PlaceRefused { take.id, take.attempt, true });
-    CHECK(bench.did<Refuse>().empty());
+    bench.submit("/stream/x", 14s);
+    auto take = bench.only<ReserveAtReplica>();
+    bench.post(ReservationRefused { take.id, take.attempt, true });
+    CHECK(bench.effects<Refuse>().empty());
     bench.post(Stop { bench.now + stopLimit });
     CHECK((bench.only<Refuse>().id == take.id));
     CHECK(bench.only<Refuse>().error.code == ResultCode::Draining);
@@ -681,16 +681,16 @@
     // Cause: what a caller brings was taken to be what the route allows it.
     Bench bench;
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
-    bench.run(bench.ask("/stream/x", 14s));
+    bench.run(bench.submit("/stream/x", 14s));
     auto shorter = document(2);
     for (auto& route : shorter.routes)
         route.timeout = 10s;
-    bench.post(TakeDocument { shorter, true });
-    bench.ask("/stream/x", 14s);
-    auto take = bench.only<TakePlace>();
-    bench.post(PlaceRefused { take.id, take.attempt, true });
+    bench.post(DocumentReceived { shorter, true });
+    bench.submit("/stream/x", 14s);
+    auto take = bench.only<ReserveAtReplica>();
+    bench.post(ReservationRefused { take.id, take.attempt, true });
     bench.wait(200ms);
-    CHECK(bench.did<Refuse>().empty());
+    CHECK(bench.effects<Refuse>().empty());
 }
 
 // --- Sidecars beside engines ------------------------------------------------------------------------------------
@@ -701,29 +701,29 @@
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     constexpr PeerId besideDecode { 5 };
     constexpr PeerId besidePrefill { 6 };
-    bench.post(RoomTold { "d:80", { besideDecode, 60000, 0 } });
-    bench.post(RoomTold { "p:80", { besidePrefill, 0, 0 } });
-    auto id = bench.ask("/stream/x");
-    auto reserve = bench.only<Reserve>();
-    CHECK(bench.did<TakePlace>().empty());
+    bench.post(EngineCapacityReported { "d:80", { besideDecode, 60000, 0 } });
+    bench.post(EngineCapacityReported { "p:80", { besidePrefill, 0, 0 } });
+    auto id = bench.submit("/stream/x");
+    auto reserve = bench.only<ReserveAtSidecar>();
+    CHECK(bench.effects<ReserveAtReplica>().empty());
     CHECK((reserve.sidecar == besideDecode));
     CHECK(reserve.promptTokens == 5000);
     CHECK(reserve.expectedTokens == 400);
-    CHECK(reserve.mostTokens == 800);
-    bench.post(ReservationAnswered { id, reserve.attempt, true, 50000 });
-    CHECK((bench.only<NotePrefill>().sidecar == besidePrefill));
-    CHECK(!bench.only<NotePrefill>().hasEnded);
+    CHECK(reserve.maxOutputTokens == 800);
+    bench.post(SidecarReservationReply { id, reserve.attempt, true, 50000 });
+    CHECK((bench.only<NotifyPrefill>().sidecar == besidePrefill));
+    CHECK(!bench.only<NotifyPrefill>().hasEnded);
     auto prefill = bench.only<Send>();
-    bench.post(PromptRead { prefill.id, prefill.attempt, "kv-1" });
-    CHECK(bench.only<NotePrefill>().hasEnded);
+    bench.post(PrefillFinished { prefill.id, prefill.attempt, "kv-1" });
+    CHECK(bench.only<NotifyPrefill>().hasEnded);
     auto send = bench.only<Send>();
     CHECK(send.replica.id == "d");
-    CHECK(send.place.empty()); // The engine knows nothing of it.
+    CHECK(send.reservation.empty()); // The engine knows nothing of it.
     bench.streamHead(send);
     bench.post(AnswerBody { send.id, send.attempt, "id: 1\ndata: a\n\n" });
     bench.post(AnswerEnd { send.id, send.attempt });
-    CHECK((bench.only<EndReservation>().sidecar == besideDecode));
-    CHECK(bench.only<EndReservation>().isWhole);
+    CHECK((bench.only<EndSidecarReservation>().sidecar == besideDecode));
+    CHECK(bench.only<EndSidecarReservation>().isComplete);
 }
 
 TEST_CASE("a reservation is given back whatever becomes of its request")
@@ -731,14 +731,14 @@
     for (bool isGranted : { false, true }) {
         Bench bench;
         bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
-        bench.post(RoomTold { "d:80", { PeerId(5), 60000, 0 } });
-        auto id = bench.ask("/stream/x");
+        bench.post(EngineCapacityReported { "d:80", { PeerId(5), 60000, 0 } });
+        auto id = bench.submit("/stream/x");
         if (isGranted)
-            bench.post(ReservationAnswered { id, bench.only<Reserve>().attempt, true, 50000 });
-        bench.post(CallerGone { id });
-        CHECK((bench.only<EndReservation>().id == id));
-        CHECK(!bench.only<EndReservation>().isWhole);
-        CHECK(bench.did<DropPlace>().empty());
+            bench.post(SidecarReservationReply { id, bench.only<ReserveAtSidecar>().attempt, true, 50000 });
+        bench.post(CallerDisconnected { id });
+        CHECK((bench.only<EndSidecarReservation>().id == id));
+        CHECK(!bench.only<EndSidecarReservation>().isComplete);
+        CHECK(bench.effects<ReleaseReservation>().empty());
     }
 }
 
@@ -746,22 +746,22 @@
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode);
-    bench.post(RoomTold { "d:80", { PeerId(5), 4000, 0 } });
-    bench.post(RoomTold { "e:80", { PeerId(6), 30000, 0 } });
-    bench.ask("/stream/x");
-    CHECK((bench.only<Reserve>().sidecar == PeerId(6)));
+    bench.post(EngineCapacityReported { "d:80", { PeerId(5), 4000, 0 } });
+    bench.post(EngineCapacityReported { "e:80", { PeerId(6), 30000, 0 } });
+    bench.submit("/stream/x");
+    CHECK((bench.only<ReserveAtSidecar>().sidecar == PeerId(6)));
     // The sidecar refuses: another gateway was there first. No room anywhere, so the request waits until there is some.
-    bench.post(ReservationAnswered { bench.only<Reserve>().id, bench.only<Reserve>().attempt, false, 0 });
-    CHECK(bench.did<Reserve>().empty());
+    bench.post(SidecarReservationReply { bench.only<ReserveAtSidecar>().id, bench.only<ReserveAtSidecar>().attempt, false, 0 });
+    CHECK(bench.effects<ReserveAtSidecar>().empty());
     bench.wait(100ms);
-    CHECK(bench.did<Reserve>().empty());
-    bench.post(RoomTold { "d:80", { PeerId(5), 20000, 0 } });
-    CHECK((bench.only<Reserve>().sidecar == PeerId(5)));
+    CHECK(bench.effects<ReserveAtSidecar>().empty());
+    bench.post(EngineCapacityReported { "d:80", { PeerId(5), 20000, 0 } });
+    CHECK((bench.only<ReserveAtSidecar>().sidecar == PeerId(5)));
     // A sidecar that does not answer is left alone, and one that is gone leaves its engine to be asked itself.
-    bench.post(PeerGone { PeerId(6) });
+    bench.post(PeerDisconnected { PeerId(6) });
     bench.wait(121ms);
-    CHECK(bench.did<EndReservation>().size() == 1);
-    CHECK(bench.only<TakePlace>().replica.id == "e");
+    CHECK(bench.effects<EndSidecarReservation>().size() == 1);
+    CHECK(bench.only<ReserveAtReplica>().replica.id == "e");
 }
 
 TEST_CASE("of prefill replicas the one with the shortest backlog is chosen, whoever has sent there")
@@ -772,13 +772,13 @@
     bench.serve().replica("p", UpstreamKind::Prefill).replica("q", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     std::map<std::string, int> chosen;
     for (int i = 0; i < 10; ++i) {
-        bench.post(RoomTold { "p:80", { PeerId(5), 0, 50000 } });
-        bench.post(RoomTold { "q:80", { PeerId(6), 0, 5000 } });
+        bench.post(EngineCapacityReported { "p:80", { PeerId(5), 0, 50000 } });
+        bench.post(EngineCapacityReported { "q:80", { PeerId(6), 0, 5000 } });
         auto take = [&] {
-            bench.ask("/stream/x");
-            return bench.only<TakePlace>();
+            bench.submit("/stream/x");
+            return bench.only<ReserveAtReplica>();
         }();
-        bench.post(PlaceTaken { take.id, take.attempt, "place" });
+        bench.post(ReservationGranted { take.id, take.attempt, "place" });
         ++chosen[bench.only<Send>().replica.id];
     }
     CHECK(chosen["q"] == 10);
@@ -793,45 +793,45 @@
     // names anew. Cause: the gateway went on by the id.
     Bench bench;
     bench.serve().restart("d", UpstreamKind::Decode).restart("p", UpstreamKind::Prefill).restart("q", UpstreamKind::Prefill);
-    auto id = bench.ask("/stream/x");
-    auto take = bench.only<TakePlace>();
+    auto id = bench.submit("/stream/x");
+    auto take = bench.only<ReserveAtReplica>();
     SUBCASE("a place that is asked for is asked for again, and the late answer is dropped")
     {
         bench.restart("d", UpstreamKind::Decode);
         CHECK((bench.only<CancelCall>().attempt == take.attempt));
-        auto again = bench.only<TakePlace>();
+        auto again = bench.only<ReserveAtReplica>();
         CHECK(again.replica.id == "d");
         CHECK(take.replica.isBefore(again.replica));
-        bench.post(PlaceTaken { id, take.attempt, "late" });
-        CHECK(bench.did<Send>().empty());
-        bench.post(PlaceTaken { id, again.attempt, "place-2" });
+        bench.post(ReservationGranted { id, take.attempt, "late" });
+        CHECK(bench.effects<Send>().empty());
+        bench.post(ReservationGranted { id, again.attempt, "place-2" });
         CHECK(bench.only<Send>().isPrefill);
     }
     SUBCASE("a place that was taken is not used, nor dropped at the newer run")
     {
-        bench.post(PlaceTaken { id, take.attempt, "place-1" });
+        bench.post(ReservationGranted { id, take.attempt, "place-1" });
         auto read = bench.only<Send>();
         bench.restart("d", UpstreamKind::Decode);
-        CHECK(bench.did<DropPlace>().empty());
-        CHECK(bench.did<CancelCall>().empty());
-        bench.post(PromptRead { id, read.attempt, "kv-1" });
+        CHECK(bench.effects<ReleaseReservation>().empty());
+        CHECK(bench.effects<CancelCall>().empty());
+        bench.post(PrefillFinished { id, read.attempt, "kv-1" });
         auto run = bench.only<Send>();
-        CHECK(run.place.empty());
+        CHECK(run.reservation.empty());
         REQUIRE(run.source);
         CHECK(run.source->handle == "kv-1");
         CHECK(take.replica.isBefore(run.replica));
     }
     SUBCASE("a place that was taken is not dropped when the caller leaves")
     {
-        bench.post(PlaceTaken { id, take.attempt, "place-1" });
+        bench.post(ReservationGranted { id, take.attempt, "place-1" });
         bench.restart("d", UpstreamKind::Decode);
-        bench.post(CallerGone { id });
-        CHECK(bench.did<DropPlace>().empty());
+        bench.post(CallerDisconnected { id });
+        CHECK(bench.effects<ReleaseReservation>().empty());
         CHECK(bench.knowsOnlyPresentRuns());
     }
     SUBCASE("a prompt that is being read is read elsewhere, also where a request may run once only, and the late handle is dropped")
     {
-        bench.post(PlaceTaken { id, take.attempt, "place-1" });
+        bench.post(ReservationGranted { id, take.attempt, "place-1" });
         auto read = bench.only<Send>();
         auto left = bench.logic().retryBudget(bench.now).at("engine");
         bench.restart(read.replica.id, UpstreamKind::Prefill);
@@ -840,11 +840,11 @@
         CHECK(again.isPrefill);
         CHECK((again.replica != read.replica));
         CHECK(bench.logic().retryBudget(bench.now).at("engine") == left - 1);
-        bench.post(PromptRead { id, read.attempt, "late" });
-        CHECK(bench.did<Send>().empty());
-        bench.post(PromptRead { id, again.attempt, "kv-2" });
+        bench.post(PrefillFinished { id, read.attempt, "late" });
+        CHECK(bench.effects<Send>().empty());
+        bench.post(PrefillFinished { id, again.attempt, "kv-2" });
         auto run = bench.only<Send>();
-        CHECK(run.place == "place-1");
+        CHECK(run.reservation == "place-1");
         CHECK(run.source->handle == "kv-2");
         // It has not run yet: a refusal may say so.
         bench.answer(run, 503, true);
@@ -861,19 +861,19 @@
     Bench bench;
     bench.serve().restart("d", UpstreamKind::Decode).restart("e", UpstreamKind::Decode);
     bench.restart("p", UpstreamKind::Prefill).restart("q", UpstreamKind::Prefill);
-    auto id = bench.ask("/stream/x");
+    auto id = bench.submit("/stream/x");
     auto first = bench.run(id);
     REQUIRE(first.source);
     bench.restart(first.source->replica.id, UpstreamKind::Prefill);
     // It may have been fetched by then: the call goes on.
-    CHECK(bench.did<CancelCall>().empty());
+    CHECK(bench.effects<CancelCall>().empty());
     SUBCASE("not run")
     {
         bench.answer(first, 503, true);
         auto read = bench.only<Send>();
         CHECK(read.isPrefill);
         CHECK((read.replica != first.source->replica));
-        bench.post(PromptRead { id, read.attempt, "kv-2" });
+        bench.post(PrefillFinished { id, read.attempt, "kv-2" });
         auto second = bench.only<Send>();
         CHECK((second.replica != first.replica));
         CHECK(second.source->handle == "kv-2");
@@ -891,8 +891,8 @@
         bench.streamHead(first);
         bench.post(AnswerBody { id, first.attempt, "id: 1\ndata: a\n\n" });
         bench.post(AnswerEnd { id, first.attempt });
-        CHECK(bench.did<EndStream>().size() == 1);
-        CHECK(bench.did<Send>().empty());
+        CHECK(bench.effects<EndStream>().size() == 1);
+        CHECK(bench.effects<Send>().empty());
     }
 }
 
@@ -900,16 +900,16 @@
 {
     Bench bench;
     bench.serve().restart("d", UpstreamKind::Decode).restart("p", UpstreamKind::Prefill).restart("q", UpstreamKind::Prefill);
-    auto id = bench.ask("/stream/x");
-    auto take = bench.only<TakePlace>();
-    bench.post(PlaceTaken { id, take.attempt, "place-1" });
+    auto id = bench.submit("/stream/x");
+    auto take = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { id, take.attempt, "place-1" });
     bool wasReadAgain = true;
     while (wasReadAgain) {
         auto read = bench.only<Send>();
         bench.restart(read.replica.id, UpstreamKind::Prefill);
         wasReadAgain = bench.only<Send>().isPrefill;
     }
-    CHECK(bench.only<Send>().place == "place-1");
+    CHECK(bench.only<Send>().reservation == "place-1");
     CHECK(!bench.only<Send>().source);
     CHECK(bench.logic().retryBudget(bench.now).at("engine") < 1);
 }
@@ -922,18 +922,18 @@
     bench.serve().restart("a");
     SUBCASE("once only: answered as failed")
     {
-        auto id = bench.ask("/once/x");
+        auto id = bench.submit("/once/x");
         auto send = bench.only<Send>();
         bench.restart("a");
-        CHECK(bench.did<CancelCall>().empty());
-        CHECK(bench.did<Refuse>().empty());
+        CHECK(bench.effects<CancelCall>().empty());
+        CHECK(bench.effects<Refuse>().empty());
         bench.post(CallFailed { id, send.attempt, true, "reset" });
         CHECK(bench.only<Refuse>().error.code == ResultCode::UpstreamFailed);
-        CHECK(bench.did<Send>().empty());
+        CHECK(bench.effects<Send>().empty());
     }
     SUBCASE("idempotent: goes to the newer run, within the route's attempts")
     {
-        auto id = bench.ask("/often/x");
+        auto id = bench.submit("/often/x");
         auto send = bench.only<Send>();
         bench.restart("a");
         bench.post(CallFailed { id, send.attempt, true, "reset" });
@@ -942,11 +942,11 @@
         bench.restart("a");
         bench.post(CallFailed { id, again.attempt, true, "reset" });
         CHECK(bench.only<Refuse>().error.code == ResultCode::UpstreamFailed);
-        CHECK(bench.did<Send>().empty());
+        CHECK(bench.effects<Send>().empty());
     }
     SUBCASE("an answer that was on its way is passed on")
     {
-        bench.ask("/once/x");
+        bench.submit("/once/x");
         auto send = bench.only<Send>();
         bench.restart("a");
         bench.answer(send, 200);
@@ -954,7 +954,7 @@
     }
     SUBCASE("an answer that the call was meant for another replica ends the former run only")
     {
-        bench.ask("/once/x");
+        bench.submit("/once/x");
         auto send = bench.only<Send>();
         bench.restart("a");
         bench.answer(send, 421, true, true);
@@ -967,12 +967,12 @@
 {
     Bench bench;
     bench.serve().restart("d", UpstreamKind::Decode).restart("e", UpstreamKind::Decode).restart("p", UpstreamKind::Prefill);
-    auto id = bench.ask("/resumable/x");
+    auto id = bench.submit("/resumable/x");
     auto first = bench.run(id);
     auto reader = first.source->replica;
     bench.restart("p", UpstreamKind::Prefill);
-    CHECK((bench.only<ForgetReplica>().replica == reader));
-    CHECK(bench.did<Note>().front().code == EventCode::UpstreamRestarted);
+    CHECK((bench.only<DropConnections>().replica == reader));
+    CHECK(bench.effects<LogEvent>().front().code == EventCode::UpstreamRestarted);
     bench.streamHead(first);
     bench.post(AnswerBody { id, first.attempt, "id: 1\ndata: a\n\n" });
     bench.post(CallFailed { id, first.attempt, true, "reset" });
@@ -985,15 +985,15 @@
 {
     Bench bench;
     bench.serve().restart("a");
-    bench.ask("/once/x");
+    bench.submit("/once/x");
     auto former = bench.only<Send>().replica;
-    bench.post(Withdrawn { "a", former.start });
-    bench.ask("/once/x");
+    bench.post(ReplicaWithdrawn { "a", former.start });
+    bench.submit("/once/x");
     CHECK(bench.only<Refuse>().error.code == ResultCode::NoUpstream);
     bench.restart("a");
     bench.replica("a", UpstreamKind::Plain, 99, ReplicaState::Draining, former.start);
-    bench.post(Withdrawn { "a", former.start });
-    bench.ask("/once/x");
+    bench.post(ReplicaWithdrawn { "a", former.start });
+    bench.submit("/once/x");
     CHECK(former.isBefore(bench.only<Send>().replica));
 }
 
@@ -1015,29 +1015,29 @@
         announcement.zone = "zone-1";
         announcement.slots = 6;
         announcement.kind = UpstreamKind::Prefill;
-        bench.post(Announced { announcement, ReplicaRegistry::overdueAfter + 100ms });
+        bench.post(RelayedAnnouncement { announcement, ReplicaRegistry::overdueAfter + 100ms });
     }
     auto allowed = bench.logic().retryBudget(bench.now)["engine"];
     int refused = 0;
     for (int i = 0; i < 100; ++i) {
-        bench.ask("/stream/x");
-        auto take = bench.only<TakePlace>();
-        bench.post(PlaceTaken { take.id, take.attempt, "place-1" });
+        bench.submit("/stream/x");
+        auto take = bench.only<ReserveAtReplica>();
+        bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
         allowed = std::max(allowed, bench.logic().retryBudget(bench.now)["engine"] + refused);
         while (bench.only<Send>().isPrefill) {
             ++refused;
             auto prefill = bench.only<Send>();
-            bench.post(PromptNotRead { prefill.id, prefill.attempt, true, true });
+            bench.post(PrefillFailed { prefill.id, prefill.attempt, true, true });
         }
-        bench.post(CallerGone { take.id });
+        bench.post(CallerDisconnected { take.id });
     }
     CHECK(refused > 0);
     CHECK(refused <= allowed);
     // One that was heard of reads prompts all the same.
     bench.replica("heard", UpstreamKind::Prefill);
-    bench.ask("/stream/x");
-    auto take = bench.only<TakePlace>();
-    bench.post(PlaceTaken { take.id, take.attempt, "place-1" });
+    bench.submit("/stream/x");
+    auto take = bench.only<ReserveAtReplica>();
+    bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
     CHECK(bench.only<Send>().isPrefill);
     CHECK(bench.only<Send>().replica.id == "heard");
 }
@@ -1049,9 +1049,9 @@
 constexpr RequestFingerprint crashing { 7 };
 
 /// What a controller tells of a request under which so many replicas have ended, a second apart.
-CrashesTold told(int crashes, Duration newest = 1s)
+CrashesReported told(int crashes, Duration newest = 1s)
 {
-    CrashesTold event;
+    CrashesReported event;
     for (int i = 0; i < crashes; ++i)
         event.report.crashes.push_back({ crashing, "gone-" + std::to_string(i), {}, newest + i * 1s, 100ms });
     return event;
@@ -1066,29 +1066,29 @@
     Bench bench;
     bench.serve().replica("a").replica("b").replica("c").replica("d");
     for (int i = 0; i < 3; ++i) {
-        auto id = bench.ask("/once/x", {}, crashing);
+        auto id = bench.submit("/once/x", {}, crashing);
         auto send = bench.only<Send>();
         bench.now += 100ms;
         bench.post(CallFailed { id, send.attempt, true, "the connection ended" });
-        auto tell = bench.only<TellCrashes>();
+        auto tell = bench.only<ReportCrashes>();
         CHECK(!tell.controller);
         REQUIRE(tell.report.crashes.size() == 1);
         CHECK((tell.report.crashes[0].request == crashing));
         CHECK((tell.report.crashes[0].run() == send.replica));
         CHECK(tell.report.crashes[0].ranFor == 100ms);
         CHECK(httpStatusOf(bench.only<Refuse>().error.code) == 502);
-        bench.post(Withdrawn { send.replica.id, {} });
+        bench.post(ReplicaWithdrawn { send.replica.id, {} });
         bench.now += 400ms;
     }
-    bench.ask("/once/x", {}, crashing);
-    CHECK(bench.did<Send>().empty());
+    bench.submit("/once/x", {}, crashing);
+    CHECK(bench.effects<Send>().empty());
     auto error = bench.only<Refuse>().error;
     CHECK(error.code == ResultCode::CrashesReplicas);
     CHECK(httpStatusOf(error.code) == 502);
     CHECK(outcomeOf(error.code) == "unknown");
     CHECK(!error.retryAfter);
-    bench.ask("/once/x", {}, RequestFingerprint(8));
-    CHECK(bench.did<Send>().size() == 1);
+    bench.submit("/once/x", {}, RequestFingerprint(8));
+    CHECK(bench.effects<Send>().size() == 1);
     CHECK(bench.finished() == 4);
 }
 
@@ -1097,18 +1097,18 @@
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill).replica("a");
     bench.post(told(2));
-    bench.ask("/once/x", {}, crashing);
-    CHECK(bench.did<Send>().size() == 1);
+    bench.submit("/once/x", {}, crashing);
+    CHECK(bench.effects<Send>().size() == 1);
     bench.post(told(3));
-    CHECK(bench.did<Note>().back().code == EventCode::RequestCrashesReplicas);
-    bench.ask("/stream/x", {}, crashing);
-    CHECK(bench.did<Send>().empty());
-    CHECK(bench.did<TakePlace>().empty());
+    CHECK(bench.effects<LogEvent>().back().code == EventCode::RequestCrashesReplicas);
+    bench.submit("/stream/x", {}, crashing);
+    CHECK(bench.effects<Send>().empty());
+    CHECK(bench.effects<ReserveAtReplica>().empty());
     CHECK(bench.only<Refuse>().error.code == ResultCode::CrashesReplicas);
     // A controller that has just started is told what this gateway knows.
-    bench.post(ControllerUp { PeerId(5) });
-    CHECK((bench.only<TellCrashes>().controller == PeerId(5)));
-    CHECK(bench.only<TellCrashes>().report.crashes.size() == 3);
+    bench.post(ControllerConnected { PeerId(5) });
+    CHECK((bench.only<ReportCrashes>().controller == PeerId(5)));
+    CHECK(bench.only<ReportCrashes>().report.crashes.size() == 3);
 }
 
 TEST_CASE("a request that waits for its place or its prompt ends at once when others like it have ended replicas")
@@ -1119,28 +1119,28 @@
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
     SUBCASE("asks for a place")
     {
-        bench.ask("/stream/x", {}, crashing);
-        CHECK(bench.did<TakePlace>().size() == 1);
+        bench.submit("/stream/x", {}, crashing);
+        CHECK(bench.effects<ReserveAtReplica>().size() == 1);
     }
     SUBCASE("waits for one")
     {
-        bench.ask("/stream/x", {}, crashing);
-        auto take = bench.only<TakePlace>();
-        bench.post(PlaceRefused { take.id, take.attempt, true });
+        bench.submit("/stream/x", {}, crashing);
+        auto take = bench.only<ReserveAtReplica>();
+        bench.post(ReservationRefused { take.id, take.attempt, true });
     }
     SUBCASE("has its prompt read")
     {
-        bench.ask("/stream/x", {}, crashing);
-        auto take = bench.only<TakePlace>();
-        bench.post(PlaceTaken { take.id, take.attempt, "place-1" });
+        bench.submit("/stream/x", {}, crashing);
+        auto take = bench.only<ReserveAtReplica>();
+        bench.post(ReservationGranted { take.id, take.attempt, "place-1" });
         CHECK(bench.only<Send>().isPrefill);
     }
     bench.post(told(3));
     CHECK(bench.only<Refuse>().error.code == ResultCode::CrashesReplicas);
-    CHECK(bench.did<Send>().empty());
+    CHECK(bench.effects<Send>().empty());
     CHECK(bench.finished() == 1);
     bench.wait(1s);
-    CHECK(bench.did<Send>().empty());
+    CHECK(bench.effects<Send>().empty());
 }
 
 TEST_CASE("a stream is not taken over by another replica once three have ended under it")
@@ -1149,7 +1149,7 @@
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
     bench.post(told(2));
-    auto id = bench.ask("/resumable/x", {}, crashing);
+    auto id = bench.submit("/resumable/x", {}, crashing);
     auto run = bench.run(id);
     SUBCASE("it has begun")
     {
@@ -1157,7 +1157,7 @@
         bench.post(AnswerBody { id, run.attempt, "id: 1\ndata: a\n\n" });
         bench.now += 100ms;
         bench.post(CallFailed { id, run.attempt, true, "the connection ended" });
-        CHECK(bench.did<BreakStream>().size() == 1);
+        CHECK(bench.effects<AbortStream>().size() == 1);
     }
     SUBCASE("it has not")
     {
@@ -1165,7 +1165,7 @@
         bench.post(CallFailed { id, run.attempt, true, "the connection ended" });
         CHECK(bench.only<Refuse>().error.code == ResultCode::CrashesReplicas);
     }
-    CHECK(bench.did<Send>().empty());
+    CHECK(bench.effects<Send>().empty());
     CHECK(bench.finished() == 1);
 }
 
@@ -1174,16 +1174,16 @@
     Bench bench;
     bench.serve().replica("a").replica("b");
     bench.post(told(2));
-    bench.ask("/once/x", {}, crashing);
+    bench.submit("/once/x", {}, crashing);
     bench.now += 100ms;
     bench.answer(bench.only<Send>(), 200);
-    auto tell = bench.only<TellCrashes>();
+    auto tell = bench.only<ReportCrashes>();
     CHECK(tell.report.crashes.empty());
     REQUIRE(tell.report.served.size() == 1);
     CHECK((tell.report.served[0].request == crashing));
-    auto id = bench.ask("/once/x", {}, crashing);
+    auto id = bench.submit("/once/x", {}, crashing);
     auto send = bench.only<Send>();
     bench.replica(send.replica.id, UpstreamKind::Plain, 2, ReplicaState::Draining);
     bench.post(CallFailed { id, send.attempt, true, "the connection ended" });
-    CHECK(bench.did<TellCrashes>().empty());
+    CHECK(bench.effects<ReportCrashes>().empty());
 }
--- a/test/correctness/LedgerTest.cpp
+++ b/test/correctness/LedgerTest.cpp
@@ -56,12 +56,12 @@
 
 SidecarLogic plainSidecar(const Safeguards& safeguards = {})
 {
-    SidecarProfile profile;
-    profile.self = PeerId(7);
-    profile.service = "saatja";
-    profile.kind = UpstreamKind::Plain;
-    profile.safeguards = safeguards;
-    return SidecarLogic(profile);
+    SidecarOptions options;
+    options.self = PeerId(7);
+    options.service = "saatja";
+    options.kind = UpstreamKind::Plain;
+    options.safeguards = safeguards;
+    return SidecarLogic(options);
 }
 
 } // namespace
@@ -77,7 +77,7 @@
 TEST_CASE("a sealed attempt is never admitted, the next one is")
 {
     AdmissionLedger ledger(100);
-    CHECK(ledger.seal({ request, "k", Attempt(1) }).state == AdmissionState::NeverAdmitted);
+    CHECK(ledger.seal({ request, "k", Attempt(1) }).state == AttemptState::NeverAdmitted);
     CHECK(!ledger.admit("k", Attempt(1)));
     CHECK(ledger.admit("k", Attempt(2)));
 }
@@ -100,7 +100,7 @@
     ledger.admit("large", Attempt(1));
     ledger.finish("large", Attempt(1), { 200, {}, "abcde", true });
     auto reply = ledger.seal({ request, "large", Attempt(1) });
-    CHECK(reply.state == AdmissionState::Finished);
+    CHECK(reply.state == AttemptState::Finished);
     CHECK(!reply.answer.complete);
 }
 
@@ -108,21 +108,21 @@
 {
     Ledger ledger;
     RequestId other { PeerId(8), 1 };
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(2), other }).state == LedgerState::Exists);
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
-    CHECK(ledger.intend({ "k", 6, Attempt(2), PeerId(1), other }).state == LedgerState::Mismatch);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(2), other }).state == LedgerState::Exists);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
+    CHECK(ledger.recordIntent({ "k", 6, Attempt(2), PeerId(1), other }).state == LedgerState::Mismatch);
 }
 
 TEST_CASE("an attempt can't be skipped, and nothing follows an outcome")
 {
     Ledger ledger;
-    ledger.intend({ "k", 5, Attempt(1), PeerId(1), request });
-    CHECK(ledger.intend({ "k", 5, Attempt(3), PeerId(1), request }).state == LedgerState::Exists);
-    ledger.conclude({ "k", Attempt(1), AdmissionState::Finished, { 200, {}, "x", true } });
-    CHECK(ledger.intend({ "k", 5, Attempt(2), PeerId(1), request }).state == LedgerState::Exists);
-    ledger.conclude({ "k", Attempt(1), AdmissionState::Broken, {} });
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).outcome == AdmissionState::Finished);
+    ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(3), PeerId(1), request }).state == LedgerState::Exists);
+    ledger.recordOutcome({ "k", Attempt(1), AttemptState::Finished, { 200, {}, "x", true } });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(2), PeerId(1), request }).state == LedgerState::Exists);
+    ledger.recordOutcome({ "k", Attempt(1), AttemptState::Interrupted, {} });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).outcome == AttemptState::Finished);
 }
 
 TEST_CASE("a dispatch for another run of the sidecar is refused")
@@ -130,21 +130,21 @@
     // Symptom: a dispatch runs again after a restart. Sequence: it is sent to the former run and reaches the new one.
     auto logic = plainSidecar();
     logic.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
-    auto effects = logic.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(6), 1) }, start);
+    auto effects = logic.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(6), 1) }, start);
     CHECK(count<sidecar::StartCall>(effects) == 0);
     CHECK(countSent<Refused>(effects) == 1);
 
-    Safeguards without;
-    without.refusesOtherIncarnation = false;
-    auto careless = plainSidecar(without);
-    careless.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
-    CHECK(count<sidecar::StartCall>(careless.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(6), 1) }, start)) == 1);
+    Safeguards disabled;
+    disabled.refusesOtherIncarnation = false;
+    auto unguarded = plainSidecar(disabled);
+    unguarded.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
+    CHECK(count<sidecar::StartCall>(unguarded.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(6), 1) }, start)) == 1);
 }
 
 TEST_CASE("a message of a gateway that is not linked starts nothing")
 {
     auto logic = plainSidecar();
-    auto effects = logic.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(7), 1) }, start);
+    auto effects = logic.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(7), 1) }, start);
     CHECK(count<sidecar::StartCall>(effects) == 0);
 }
 
@@ -152,7 +152,7 @@
 {
     auto logic = plainSidecar();
     logic.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
-    logic.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(7), 1) }, start);
+    logic.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(7), 1) }, start);
     auto effects = logic.step(sidecar::PeerDown { PeerId(9) }, start);
     CHECK(count<sidecar::AbortCall>(effects) == 0);
     CHECK(logic.inProgress() == 1);
@@ -170,12 +170,12 @@
         logic.step(gateway::PeerUp { hello }, start);
         LoadReport load;
         load.slots = 1;
-        logic.step(gateway::FromPeer { hello.id, Announce { "saatja", UpstreamKind::Plain, "", 3s, load } }, start);
+        logic.step(gateway::PeerMessage { hello.id, UpstreamAnnouncement { "saatja", UpstreamKind::Plain, "", 3s, load } }, start);
         CallerRequest caller;
         caller.account = "a";
         caller.service = "saatja";
         logic.step(gateway::Submit { request, caller }, start);
-        auto effects = logic.step(gateway::FromPeer { hello.id, ResponseHead { request, Attempt(0), 200, {} } }, start);
+        auto effects = logic.step(gateway::PeerMessage { hello.id, ResponseHead { request, Attempt(0), 200, {} } }, start);
         CHECK(count<gateway::AnswerHead>(effects) == (checks ? 0 : 1));
     }
 }
--- a/test/correctness/LinkTest.cpp
+++ b/test/correctness/LinkTest.cpp
@@ -107,8 +107,8 @@
 
     auto ofAnotherRelease = hello(3, "later");
     ofAnotherRelease.role = static_cast<Role>(77);
-    std::vector<std::vector<Message>> wrongs { { ofAnotherRelease }, { Withdrawn { "a" } }, { hello(0, "nobody") },
-        { hello(4, std::string(100000, 'n')) }, { hello(5, "near"), Announced {} } };
+    std::vector<std::vector<Message>> wrongs { { ofAnotherRelease }, { ReplicaWithdrawn { "a" } }, { hello(0, "nobody") },
+        { hello(4, std::string(100000, 'n')) }, { hello(5, "near"), RelayedAnnouncement {} } };
     std::ptrdiff_t n = 0;
     for (const auto& words : wrongs) {
         auto link = speak(net, strangers, address, words);
@@ -123,7 +123,7 @@
         boost::asio::write(socket, boost::asio::buffer(std::string(200, 'x')));
         told.await("fault", ++n);
     }
-    friendly.send(PeerId(1), Withdrawn { "b" });
+    friendly.send(PeerId(1), ReplicaWithdrawn { "b" });
     told.await("message");
     CHECK(good.count("down") == 0);
     CHECK(told.count("message") == 1);
