--- a/test/correctness/MembershipTest.cpp
+++ b/test/correctness/MembershipTest.cpp
@@ -27,19 +27,19 @@
 
 class Cluster {
 public:
-    explicit Cluster(std::vector<std::string> founders, std::size_t lossesToBear = 0)
-        : m_founders(std::move(founders))
-        , m_lossesToBear(lossesToBear)
+    explicit Cluster(std::vector<std::string> initialMembers, std::size_t toleratedFailures = 0)
+        : m_initialMembers(std::move(initialMembers))
+        , m_toleratedFailures(toleratedFailures)
     {
-        for (const auto& name : m_founders)
+        for (const auto& name : m_initialMembers)
             startEmpty(name, true);
     }
 
     /// Starts a controller with an empty disk.
-    void startEmpty(const std::string& name, bool isFounding = false)
+    void startEmpty(const std::string& name, bool isNewCluster = false)
     {
         m_disks[name] = { DiskId(++m_lastDisk), {} };
-        run(name, isFounding);
+        run(name, isNewCluster);
     }
     /// Starts a controller that has no disk.
     void startDiskless(const std::string& name)
@@ -52,21 +52,21 @@
     {
         m_running.erase(name);
         for (auto& [other, raft] : m_running)
-            raft->lose(name);
+            raft->removePeer(name);
     }
-    void cut(const std::string& name) { m_cut.insert(name); }
+    void partition(const std::string& name) { m_partitioned.insert(name); }
     /// Its process stands still, and so does its clock; what it is sent is lost.
-    void freeze(const std::string& name) { m_frozen.insert(name); }
-    void thaw(const std::string& name) { m_frozen.erase(name); }
+    void suspend(const std::string& name) { m_suspended.insert(name); }
+    void resume(const std::string& name) { m_suspended.erase(name); }
 
-    void pass(Duration d)
+    void advance(Duration d)
     {
         for (auto end = m_now + d; m_now < end; m_now += step) {
             for (auto& [name, raft] : m_running) {
-                if (m_frozen.contains(name))
-                    m_lag[name] += step;
+                if (m_suspended.contains(name))
+                    m_clockDelay[name] += step;
                 else if (raft->nextWake() <= clockOf(name))
-                    carry(name, raft->tick(clockOf(name)));
+                    perform(name, raft->tick(clockOf(name)));
             }
             deliver();
         }
@@ -90,13 +90,13 @@
                 Raft::Effects effects;
                 auto index = raft->propose(DocumentCommand { version, "text" }, effects);
                 auto name = raft->leader();
-                carry(name, std::move(effects));
-                carry(name, raft->flush(clockOf(name)));
-                pass(200ms);
+                perform(name, std::move(effects));
+                perform(name, raft->flush(clockOf(name)));
+                advance(200ms);
                 if (m_running.contains(name) && m_running.at(name)->commitIndex() >= index)
                     return true;
             }
-            pass(100ms);
+            advance(100ms);
         }
         return false;
     }
@@ -112,7 +112,7 @@
             auto isGone = [&gone](const auto& name) { return std::find(gone.begin(), gone.end(), name) != gone.end(); };
             if (names.size() == count && std::none_of(names.begin(), names.end(), isGone))
                 return true;
-            pass(step);
+            advance(step);
         }
         return false;
     }
@@ -137,7 +137,7 @@
     }
 
 private:
-    struct Mail {
+    struct Envelope {
         std::string from;
         std::string to;
         Message message;
@@ -145,41 +145,41 @@
 
     [[nodiscard]] bool isReachable(const std::string& name) const
     {
-        return m_running.contains(name) && !m_cut.contains(name) && !m_frozen.contains(name);
+        return m_running.contains(name) && !m_partitioned.contains(name) && !m_suspended.contains(name);
     }
-    Instant clockOf(const std::string& name) { return m_now - m_lag[name]; }
+    Instant clockOf(const std::string& name) { return m_now - m_clockDelay[name]; }
 
-    void run(const std::string& name, bool isFounding)
+    void run(const std::string& name, bool isNewCluster)
     {
         raft::Settings settings;
         settings.self = name;
         settings.zone = name.substr(0, 1);
-        settings.lossesToBear = m_lossesToBear;
+        settings.toleratedFailures = m_toleratedFailures;
         settings.isDynamic = true;
-        settings.isNewCluster = isFounding;
-        if (isFounding)
-            settings.members = m_founders;
+        settings.isNewCluster = isNewCluster;
+        if (isNewCluster)
+            settings.members = m_initialMembers;
         settings.disk = m_disks[name].id;
         settings.seed = ++m_lastSeed;
         m_applied[name] = 0;
-        m_lag.erase(name);
+        m_clockDelay.erase(name);
         m_running[name] = std::make_unique<Raft>(settings, m_disks[name].content, m_now);
-        carry(name, m_running[name]->recover());
+        perform(name, m_running[name]->recover());
         for (auto& [other, raft] : m_running) {
             if (other == name)
                 continue;
-            raft->meet(name, name.substr(0, 1), clockOf(other));
-            m_running[name]->meet(other, other.substr(0, 1), m_now);
+            raft->addPeer(name, name.substr(0, 1), clockOf(other));
+            m_running[name]->addPeer(other, other.substr(0, 1), m_now);
         }
     }
 
-    void carry(const std::string& name, Raft::Effects effects)
+    void perform(const std::string& name, Raft::Effects effects)
     {
         for (auto& effect : effects) {
             if (auto* persist = std::get_if<raft::Persist>(&effect)) {
                 store(m_disks[name].content, *persist);
             } else if (auto* send = std::get_if<raft::Send>(&effect)) {
-                m_mail.push_back({ name, send->to, send->message });
+                m_envelopes.push_back({ name, send->to, send->message });
             } else if (auto* apply = std::get_if<raft::Apply>(&effect)) {
                 if (const auto* document = std::get_if<DocumentCommand>(&apply->entry.command))
                     m_applied[name] = std::max(m_applied[name], document->version);
@@ -198,49 +198,49 @@
 
     void deliver()
     {
-        for (auto mail = std::exchange(m_mail, {}); !mail.empty(); mail = std::exchange(m_mail, {})) {
-            for (auto& m : mail) {
+        for (auto envelopes = std::exchange(m_envelopes, {}); !envelopes.empty(); envelopes = std::exchange(m_envelopes, {})) {
+            for (auto& m : envelopes) {
                 if (isReachable(m.to) && isReachable(m.from))
-                    carry(m.to, m_running[m.to]->receive(m.from, m.message, clockOf(m.to)));
+                    perform(m.to, m_running[m.to]->receive(m.from, m.message, clockOf(m.to)));
             }
         }
     }
 
-    std::vector<std::string> m_founders;
-    std::size_t m_lossesToBear;
+    std::vector<std::string> m_initialMembers;
+    std::size_t m_toleratedFailures;
     std::map<std::string, Disk> m_disks;
     std::map<std::string, std::unique_ptr<Raft>> m_running;
     std::map<std::string, std::uint64_t> m_applied;
-    std::set<std::string> m_cut;
-    std::set<std::string> m_frozen;
-    std::map<std::string, Duration> m_lag; ///< By how much its clock is behind.
-    std::deque<Mail> m_mail;
+    std::set<std::string> m_partitioned;
+    std::set<std::string> m_suspended;
+    std::map<std::string, Duration> m_clockDelay; ///< By how much its clock is behind.
+    std::deque<Envelope> m_envelopes;
     Instant m_now = start;
     std::uint64_t m_lastDisk = 0;
     std::uint64_t m_lastSeed = 0;
 };
 
 /// Another controller; the first letter of its name is its zone.
-membership::Candidate candidate(const std::string& name, std::uint64_t match = 100, Duration silentFor = 0ms)
+membership::PeerStatus peer(const std::string& name, std::uint64_t match = 100, Duration sinceLastReply = 0ms)
 {
-    return { name, name.substr(0, 1), silentFor == 0ms, false, true, match, silentFor };
+    return { name, name.substr(0, 1), sinceLastReply == 0ms, false, true, match, sinceLastReply };
 }
 
-membership::Candidate silent(const std::string& name) { return candidate(name, 90, 5s); }
+membership::PeerStatus unresponsivePeer(const std::string& name) { return peer(name, 90, 5s); }
 
 using Names = std::vector<std::string>;
 
 /// The plan of the first of the members, after a hundred entries.
-std::optional<Names> plan(const Names& members, const std::vector<membership::Candidate>& others, std::size_t lossesToBear = 0)
+std::optional<Names> plan(const Names& members, const std::vector<membership::PeerStatus>& others, std::size_t toleratedFailures = 0)
 {
-    return membership::plan({ members, members.front(), members.front().substr(0, 1), others, 100, lossesToBear });
+    return membership::plan({ members, members.front(), members.front().substr(0, 1), others, 100, toleratedFailures });
 }
 
 /// The clusters of the tests below: three founders of three zones, and a second controller in each.
-const Names founders { "a1", "b1", "c1" };
-const Names everybody { "a1", "a2", "b1", "b2", "c1", "c2" };
+const Names initialMembers { "a1", "b1", "c1" };
+const Names allControllers { "a1", "a2", "b1", "b2", "c1", "c2" };
 
-void startOthers(Cluster& cluster)
+void startRemaining(Cluster& cluster)
 {
     for (const auto* name : { "a2", "b2", "c2" })
         cluster.startEmpty(name);
@@ -251,38 +251,38 @@
 TEST_CASE("a silent member is replaced by a learner that has caught up, one step at a time")
 {
     Names abc { "a", "b", "c" };
-    CHECK(!plan(abc, { candidate("b"), candidate("c"), candidate("d") }));
-    CHECK(!plan(abc, { candidate("b"), silent("c") }));
-    CHECK(!plan(abc, { candidate("b"), silent("c"), candidate("d", 10) }));
-    CHECK(plan(abc, { candidate("b"), silent("c"), candidate("d") }) == Names { "a", "b", "c", "d" });
-    CHECK(plan({ "a", "b", "c", "d" }, { candidate("b"), silent("c"), candidate("d") }) == Names { "a", "b", "d" });
+    CHECK(!plan(abc, { peer("b"), peer("c"), peer("d") }));
+    CHECK(!plan(abc, { peer("b"), unresponsivePeer("c") }));
+    CHECK(!plan(abc, { peer("b"), unresponsivePeer("c"), peer("d", 10) }));
+    CHECK(plan(abc, { peer("b"), unresponsivePeer("c"), peer("d") }) == Names { "a", "b", "c", "d" });
+    CHECK(plan({ "a", "b", "c", "d" }, { peer("b"), unresponsivePeer("c"), peer("d") }) == Names { "a", "b", "d" });
 }
 
 TEST_CASE("no member is removed when those left would be no majority of the present members")
 {
-    CHECK(!plan({ "a", "b", "c", "d" }, { silent("b"), silent("c"), candidate("d") }));
+    CHECK(!plan({ "a", "b", "c", "d" }, { unresponsivePeer("b"), unresponsivePeer("c"), peer("d") }));
 }
 
 TEST_CASE("members are added in pairs up to two for each loss to bear and one")
 {
     Names three { "a1", "b1", "c1" };
-    auto b1 = candidate("b1");
-    auto c1 = candidate("c1");
-    CHECK(!plan(three, { b1, c1, candidate("a2") }, 2));
-    CHECK(!plan(three, { b1, c1, candidate("a2"), candidate("b2", 10) }, 2));
-    CHECK(plan(three, { b1, c1, candidate("a2"), candidate("b2") }, 2) == Names { "a1", "b1", "c1", "a2" });
-    CHECK(plan({ "a1", "b1", "c1", "a2" }, { b1, c1, candidate("a2"), candidate("b2") }, 2) == Names { "a1", "b1", "c1", "a2", "b2" });
-    CHECK(!plan({ "a1", "b1", "c1", "a2", "b2" }, { b1, c1, candidate("a2"), candidate("b2"), candidate("c2") }, 2));
-    CHECK(!plan(three, { b1, c1, candidate("a2"), candidate("b2") }, 1));
+    auto b1 = peer("b1");
+    auto c1 = peer("c1");
+    CHECK(!plan(three, { b1, c1, peer("a2") }, 2));
+    CHECK(!plan(three, { b1, c1, peer("a2"), peer("b2", 10) }, 2));
+    CHECK(plan(three, { b1, c1, peer("a2"), peer("b2") }, 2) == Names { "a1", "b1", "c1", "a2" });
+    CHECK(plan({ "a1", "b1", "c1", "a2" }, { b1, c1, peer("a2"), peer("b2") }, 2) == Names { "a1", "b1", "c1", "a2", "b2" });
+    CHECK(!plan({ "a1", "b1", "c1", "a2", "b2" }, { b1, c1, peer("a2"), peer("b2"), peer("c2") }, 2));
+    CHECK(!plan(three, { b1, c1, peer("a2"), peer("b2") }, 1));
 }
 
 TEST_CASE("an even number is a step on the way: it is left upwards with a learner, else downwards")
 {
     Names four { "a1", "b1", "c1", "a2" };
-    auto b1 = candidate("b1");
-    auto c1 = candidate("c1");
-    CHECK(plan(four, { b1, c1, candidate("a2") }, 2) == Names { "a1", "b1", "c1" });
-    CHECK(plan(four, { b1, c1, candidate("a2"), candidate("b2") }, 1) == Names { "a1", "b1", "c1" });
+    auto b1 = peer("b1");
+    auto c1 = peer("c1");
+    CHECK(plan(four, { b1, c1, peer("a2") }, 2) == Names { "a1", "b1", "c1" });
+    CHECK(plan(four, { b1, c1, peer("a2"), peer("b2") }, 1) == Names { "a1", "b1", "c1" });
     // Two founders are not made one: that bears no more losses, and a single disk holds everything.
     CHECK(!plan({ "a1", "b1" }, { b1 }, 1));
     CHECK(plan({ "a1", "b1" }, { b1, c1 }, 1) == Names { "a1", "b1", "c1" });
@@ -290,42 +290,42 @@
 
 TEST_CASE("a learner of the zone with the fewest voters goes first, and a zone with two more gives one up")
 {
-    auto b1 = candidate("b1");
-    auto c1 = candidate("c1");
-    CHECK(plan({ "a1", "b1", "c1" }, { b1, c1, candidate("a2"), candidate("d1") }, 2) == Names { "a1", "b1", "c1", "d1" });
+    auto b1 = peer("b1");
+    auto c1 = peer("c1");
+    CHECK(plan({ "a1", "b1", "c1" }, { b1, c1, peer("a2"), peer("d1") }, 2) == Names { "a1", "b1", "c1", "d1" });
     // The zone of the silent member has no voter left.
-    CHECK(plan({ "a1", "b1", "c1" }, { b1, silent("c1"), candidate("a2"), candidate("c2") }, 1) == Names { "a1", "b1", "c1", "c2" });
+    CHECK(plan({ "a1", "b1", "c1" }, { b1, unresponsivePeer("c1"), peer("a2"), peer("c2") }, 1) == Names { "a1", "b1", "c1", "c2" });
     Names skewed { "a1", "b1", "b2" };
-    CHECK(plan(skewed, { b1, candidate("b2"), candidate("c1") }, 1) == Names { "a1", "b1", "b2", "c1" });
-    CHECK(plan({ "a1", "b1", "b2", "c1" }, { b1, candidate("b2"), c1 }, 1) == Names { "a1", "b1", "c1" });
-    CHECK(!plan({ "a1", "b1", "c1" }, { b1, c1, candidate("d1") }, 1));
+    CHECK(plan(skewed, { b1, peer("b2"), peer("c1") }, 1) == Names { "a1", "b1", "b2", "c1" });
+    CHECK(plan({ "a1", "b1", "b2", "c1" }, { b1, peer("b2"), c1 }, 1) == Names { "a1", "b1", "c1" });
+    CHECK(!plan({ "a1", "b1", "c1" }, { b1, c1, peer("d1") }, 1));
 }
 
 TEST_CASE("who keeps nothing is never added, and a member that counts for nothing does not make a removal safe")
 {
-    auto diskless = candidate("a2");
+    auto diskless = peer("a2");
     diskless.isDiskless = true;
-    CHECK(!plan({ "a1", "b1", "c1" }, { candidate("b1"), silent("c1"), diskless }, 1));
-    CHECK(!plan({ "a1", "b1", "c1" }, { candidate("b1"), candidate("c1"), diskless, candidate("b2") }, 2));
-    auto wiped = candidate("c1");
+    CHECK(!plan({ "a1", "b1", "c1" }, { peer("b1"), unresponsivePeer("c1"), diskless }, 1));
+    CHECK(!plan({ "a1", "b1", "c1" }, { peer("b1"), peer("c1"), diskless, peer("b2") }, 2));
+    auto wiped = peer("c1");
     wiped.counts = false;
-    CHECK(!plan({ "a1", "b1", "c1", "d1" }, { candidate("b1"), wiped, silent("d1") }, 1));
+    CHECK(!plan({ "a1", "b1", "c1", "d1" }, { peer("b1"), wiped, unresponsivePeer("d1") }, 1));
 }
 
 TEST_CASE("founders agree, a fourth controller learns, and a restart with other settings finds the members in the log")
 {
     Cluster cluster({ "a", "b", "c" });
-    cluster.pass(2s);
+    cluster.advance(2s);
     REQUIRE(cluster.commit(1));
     cluster.startEmpty("d");
-    cluster.pass(1s);
+    cluster.advance(1s);
     CHECK(cluster.members() == Names { "a", "b", "c" });
     CHECK(cluster.applied("d") == 1);
     for (const auto* name : { "a", "b", "c", "d" })
         cluster.stop(name);
     for (const auto* name : { "a", "b", "c" })
         cluster.restart(name);
-    cluster.pass(2s);
+    cluster.advance(2s);
     REQUIRE(cluster.commit(2));
     CHECK(cluster.members() == Names { "a", "b", "c" });
 }
@@ -335,14 +335,14 @@
     // Symptom: after the second loss nothing is accepted any more. Sequence: c is lost for good, d comes at another address with
     // an empty disk, seconds later a is lost. Cause: d never counted, so two of three voters were gone.
     Cluster cluster({ "a", "b", "c" });
-    cluster.pass(2s);
+    cluster.advance(2s);
     REQUIRE(cluster.commit(1));
     cluster.stop("c");
     cluster.startEmpty("d");
-    cluster.pass(4s);
+    cluster.advance(4s);
     CHECK(cluster.members() == Names { "a", "b", "d" });
     cluster.stop("a");
-    cluster.pass(3s);
+    cluster.advance(3s);
     REQUIRE(cluster.commit(2));
     CHECK(cluster.applied("d") == 2);
 }
@@ -351,7 +351,7 @@
 {
     Cluster cluster({ "a", "b", "c" });
     cluster.startEmpty("d");
-    cluster.pass(2s);
+    cluster.advance(2s);
     REQUIRE(cluster.commit(1));
     cluster.stop("b");
     cluster.stop("c");
@@ -364,22 +364,22 @@
 {
     // Symptom: an accepted document is gone. Sequence: a and c hold it, b does not; c loses its disk and helps b to lead.
     Cluster cluster({ "a", "b", "c" });
-    cluster.pass(2s);
+    cluster.advance(2s);
     cluster.stop("b");
     REQUIRE(cluster.commit(1));
     cluster.stop("a");
     cluster.stop("c");
     cluster.startEmpty("c");
     cluster.restart("b");
-    cluster.pass(5s);
+    cluster.advance(5s);
     CHECK(cluster.leader() == nullptr);
     cluster.restart("a");
-    cluster.pass(3s);
+    cluster.advance(3s);
     REQUIRE(cluster.leader());
     CHECK(cluster.applied("b") == 1);
     CHECK(cluster.applied("c") == 1);
     cluster.stop("a");
-    cluster.pass(3s);
+    cluster.advance(3s);
     CHECK(cluster.commit(2));
 }
 
@@ -387,14 +387,14 @@
 {
     Cluster cluster({ "a", "b", "c" });
     cluster.startEmpty("d");
-    cluster.pass(2s);
+    cluster.advance(2s);
     REQUIRE(cluster.commit(1));
     cluster.stop("c");
-    cluster.pass(4s);
+    cluster.advance(4s);
     CHECK(cluster.members() == Names { "a", "b", "d" });
     auto term = cluster.leader()->term();
     cluster.restart("c");
-    cluster.pass(4s);
+    cluster.advance(4s);
     CHECK(cluster.leader()->term() == term);
     CHECK(cluster.members() == Names { "a", "b", "d" });
     REQUIRE(cluster.commit(2));
@@ -406,16 +406,16 @@
     // Symptom: after a power loss of the whole site all requests are refused for most of a second more than the machines need.
     // Sequence: all controllers start within some 100 ms and link. Cause: each waited for a whole election timeout first.
     Cluster cluster({ "a", "b", "c" });
-    cluster.pass(2s);
+    cluster.advance(2s);
     REQUIRE(cluster.commit(1));
     for (int i = 0; i < 20; ++i) {
         for (const auto* name : { "a", "b", "c" })
             cluster.stop(name);
         for (const auto* name : { "a", "b", "c" }) {
             cluster.restart(name);
-            cluster.pass(30ms);
+            cluster.advance(30ms);
         }
-        cluster.pass(300ms);
+        cluster.advance(300ms);
         REQUIRE(cluster.leader());
     }
 }
@@ -423,7 +423,7 @@
 TEST_CASE("a controller that starts beside a leader does not disturb it")
 {
     Cluster cluster({ "a", "b", "c" });
-    cluster.pass(2s);
+    cluster.advance(2s);
     REQUIRE(cluster.commit(1));
     auto term = cluster.leader()->term();
     auto leader = cluster.leader()->leader();
@@ -431,7 +431,7 @@
         const auto* other = leader == "a" ? "b" : "a";
         cluster.stop(other);
         cluster.restart(other);
-        cluster.pass(500ms);
+        cluster.advance(500ms);
         REQUIRE(cluster.leader());
         CHECK(cluster.leader()->term() == term);
     }
@@ -441,22 +441,22 @@
 {
     // Symptom: after two disks of three are lost nothing is accepted or read any more, with five sound machines at hand.
     // Sequence: three founders, three more controllers; two founders lose their disks at once. Cause: the others only learn.
-    Cluster cluster(founders, 2);
-    startOthers(cluster);
+    Cluster cluster(initialMembers, 2);
+    startRemaining(cluster);
     REQUIRE(cluster.awaitMembers(5));
-    cluster.pass(2s);
+    cluster.advance(2s);
     CHECK(cluster.votersByZone() == std::vector<std::size_t> { 1, 2, 2 });
     REQUIRE(cluster.commit(1));
-    for (const auto& name : everybody)
+    for (const auto& name : allControllers)
         CHECK(cluster.applied(name) == 1);
 }
 
 TEST_CASE("with fewer disks than the losses need there are as many voters as the largest odd number of them")
 {
-    Cluster cluster(founders, 2);
+    Cluster cluster(initialMembers, 2);
     cluster.startEmpty("a2");
-    cluster.pass(5s);
-    CHECK(cluster.members() == founders);
+    cluster.advance(5s);
+    CHECK(cluster.members() == initialMembers);
     cluster.startEmpty("b2");
     REQUIRE(cluster.awaitMembers(5));
     REQUIRE(cluster.commit(1));
@@ -468,8 +468,8 @@
     // so a majority that has not must register it, and two of three are no such majority.
     for (std::size_t i = 0; i < 5; ++i) {
         for (auto k = i + 1; k < 5; ++k) {
-            Cluster cluster(founders, 2);
-            startOthers(cluster);
+            Cluster cluster(initialMembers, 2);
+            startRemaining(cluster);
             REQUIRE(cluster.awaitMembers(5));
             REQUIRE(cluster.commit(1));
             auto voters = cluster.members();
@@ -477,14 +477,14 @@
             CAPTURE(voters[k]);
             cluster.stop(voters[i]);
             cluster.stop(voters[k]);
-            cluster.pass(200ms);
+            cluster.advance(200ms);
             cluster.startEmpty(voters[i]);
             cluster.startEmpty(voters[k]);
-            cluster.pass(3s);
+            cluster.advance(3s);
             REQUIRE(cluster.commit(2));
             REQUIRE(cluster.awaitMembers(5));
-            cluster.pass(1s);
-            for (const auto& name : everybody)
+            cluster.advance(1s);
+            for (const auto& name : allControllers)
                 CHECK(cluster.applied(name) == 2);
             // Whole again: two others may go.
             for (std::size_t n = 0, gone = 0; n < 5 && gone < 2; ++n) {
@@ -493,7 +493,7 @@
                     ++gone;
                 }
             }
-            cluster.pass(3s);
+            cluster.advance(3s);
             CHECK(cluster.commit(3));
         }
     }
@@ -503,21 +503,21 @@
 {
     for (auto between = 0ms; between <= 3000ms; between += 100ms) {
         CAPTURE(between.count());
-        Cluster cluster(founders, 2);
-        startOthers(cluster);
+        Cluster cluster(initialMembers, 2);
+        startRemaining(cluster);
         REQUIRE(cluster.awaitMembers(5));
         REQUIRE(cluster.commit(1));
         auto voters = cluster.members();
         auto leader = cluster.leader()->leader();
         std::erase(voters, leader);
         cluster.stop(voters[0]);
-        cluster.pass(between);
+        cluster.advance(between);
         cluster.stop(leader);
         REQUIRE(cluster.commit(2));
         // Both come back with empty disks.
         cluster.startEmpty(voters[0]);
         cluster.startEmpty(leader);
-        cluster.pass(4s);
+        cluster.advance(4s);
         REQUIRE(cluster.awaitMembers(5));
         CHECK(cluster.applied(leader) == 2);
     }
@@ -527,8 +527,8 @@
 {
     // Symptom: nothing is accepted although two losses are to be borne and the first one was repaired. Sequence: a voter is gone, the
     // sixth controller takes its place, two others go at once. Cause: the new voter is on the list, but may not vote yet.
-    Cluster cluster(founders, 2);
-    startOthers(cluster);
+    Cluster cluster(initialMembers, 2);
+    startRemaining(cluster);
     REQUIRE(cluster.awaitMembers(5));
     REQUIRE(cluster.commit(1));
     auto voters = cluster.members();
@@ -538,7 +538,7 @@
     REQUIRE(cluster.awaitMembers(5, { voters[0] }));
     cluster.stop(leader);
     cluster.stop(voters[1]);
-    cluster.pass(3s);
+    cluster.advance(3s);
     REQUIRE(cluster.commit(2));
     CHECK(cluster.applied(voters[2]) == 2);
 }
@@ -547,18 +547,18 @@
 {
     for (auto at = 0ms; at <= 3000ms; at += 50ms) {
         CAPTURE(at.count());
-        Cluster cluster(founders, 2);
-        cluster.pass(1s);
+        Cluster cluster(initialMembers, 2);
+        cluster.advance(1s);
         REQUIRE(cluster.commit(1));
-        startOthers(cluster);
-        cluster.pass(at);
+        startRemaining(cluster);
+        cluster.advance(at);
         cluster.stop("b1");
-        cluster.pass(300ms);
+        cluster.advance(300ms);
         cluster.startEmpty("b1");
         REQUIRE(cluster.awaitMembers(5));
         REQUIRE(cluster.commit(2));
-        cluster.pass(1s);
-        for (const auto& name : everybody)
+        cluster.advance(1s);
+        for (const auto& name : allControllers)
             CHECK(cluster.applied(name) == 2);
     }
 }
@@ -567,16 +567,16 @@
 {
     for (auto at = 0ms; at <= 1500ms; at += 20ms) {
         CAPTURE(at.count());
-        Cluster cluster(founders, 2);
-        cluster.pass(1s);
+        Cluster cluster(initialMembers, 2);
+        cluster.advance(1s);
         REQUIRE(cluster.commit(1));
-        startOthers(cluster);
-        cluster.pass(at);
+        startRemaining(cluster);
+        cluster.advance(at);
         cluster.stop("a2");
         cluster.startEmpty("a2");
         REQUIRE(cluster.commit(2));
         REQUIRE(cluster.awaitMembers(5));
-        cluster.pass(1s);
+        cluster.advance(1s);
         CHECK(cluster.applied("a2") == 2);
     }
 }
@@ -585,28 +585,28 @@
 {
     for (auto at = 0ms; at <= 2000ms; at += 20ms) {
         CAPTURE(at.count());
-        Cluster cluster(founders, 2);
-        cluster.pass(1s);
+        Cluster cluster(initialMembers, 2);
+        cluster.advance(1s);
         REQUIRE(cluster.commit(1));
-        startOthers(cluster);
-        cluster.pass(at);
-        for (const auto& name : everybody)
+        startRemaining(cluster);
+        cluster.advance(at);
+        for (const auto& name : allControllers)
             cluster.stop(name);
-        for (const auto& name : everybody)
+        for (const auto& name : allControllers)
             cluster.restart(name);
         REQUIRE(cluster.awaitMembers(5));
         REQUIRE(cluster.commit(2));
-        cluster.pass(1s);
-        for (const auto& name : everybody)
+        cluster.advance(1s);
+        for (const auto& name : allControllers)
             CHECK(cluster.applied(name) == 2);
     }
 }
 
 TEST_CASE("a founder that never comes is replaced while the members grow")
 {
-    Cluster cluster(founders, 2);
+    Cluster cluster(initialMembers, 2);
     cluster.stop("c1");
-    startOthers(cluster);
+    startRemaining(cluster);
     REQUIRE(cluster.awaitMembers(5, { "c1" }));
     CHECK(cluster.votersByZone() == std::vector<std::size_t> { 1, 2, 2 });
     REQUIRE(cluster.commit(1));
@@ -614,14 +614,14 @@
 
 TEST_CASE("a controller without a disk learns and never becomes a member")
 {
-    Cluster cluster(founders, 2);
+    Cluster cluster(initialMembers, 2);
     for (const auto* name : { "a2", "b2", "c2" })
         cluster.startDiskless(name);
-    cluster.pass(3s);
+    cluster.advance(3s);
     REQUIRE(cluster.commit(1));
     cluster.stop("c1");
-    cluster.pass(5s);
-    CHECK(cluster.members() == founders);
+    cluster.advance(5s);
+    CHECK(cluster.members() == initialMembers);
     REQUIRE(cluster.commit(2));
     CHECK(cluster.applied("a2") == 2);
     cluster.stop("b1");
@@ -634,11 +634,11 @@
     // themselves and accept a document; that one goes down, the third loses its disk, and the former leader goes on as if no time
     // had passed. Cause: the entry that registers the wiped disk was counted as stored by that very disk, and committed by it.
     Cluster cluster({ "a", "b", "c" }, 1);
-    cluster.pass(2s);
+    cluster.advance(2s);
     REQUIRE(cluster.commit(1));
     auto former = cluster.leader()->leader();
-    cluster.freeze(former);
-    cluster.pass(3s);
+    cluster.suspend(former);
+    cluster.advance(3s);
     REQUIRE(cluster.commit(2));
     auto next = cluster.leader()->leader();
     REQUIRE(next != former);
@@ -648,10 +648,10 @@
     cluster.stop(next);
     cluster.stop(names[0]);
     cluster.startEmpty(names[0]);
-    cluster.thaw(former);
+    cluster.resume(former);
     CHECK(!cluster.commit(9));
     cluster.restart(next);
-    cluster.pass(3s);
+    cluster.advance(3s);
     REQUIRE(cluster.leader());
     CHECK(cluster.applied(next) == 2);
     CHECK(cluster.applied(former) == 2);
--- a/test/correctness/ProtocolTest.cpp
+++ b/test/correctness/ProtocolTest.cpp
@@ -74,7 +74,7 @@
     Hello hello;
     hello.role = static_cast<Role>(3);
     CHECK(!decode(encode(hello)));
-    Announced announced;
+    RelayedAnnouncement announced;
     announced.announcement.state = static_cast<ReplicaState>(2);
     CHECK(!decode(encode(announced)));
     announced.announcement.state = ReplicaState::Draining;
@@ -84,13 +84,13 @@
     dispatch.priority = static_cast<Priority>(2);
     CHECK(!decode(encode(dispatch)));
     SealReply seal;
-    seal.state = static_cast<AdmissionState>(4);
+    seal.state = static_cast<AttemptState>(4);
     CHECK(!decode(encode(seal)));
 }
 
 TEST_CASE("a span of time that would overflow the clock is refused")
 {
-    Announced announced;
+    RelayedAnnouncement announced;
     for (auto age : { Duration::max(), Duration::min(), Duration(std::chrono::hours(24 * 365 * 200)) }) {
         announced.age = age;
         CHECK(!decode(encode(announced)));
--- a/test/correctness/QuotaTest.cpp
+++ b/test/correctness/QuotaTest.cpp
@@ -13,7 +13,7 @@
 TEST_CASE("below its limit an account is refused nowhere, through however few gateways its callers come")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     SUBCASE("through one")
     {
         fleet.load(rule.perSecond * 0.9, 20s, [](std::mt19937&) { return 5; });
@@ -32,11 +32,11 @@
 TEST_CASE("an account that sends many times its limit has the limit run, in every window, over all gateways")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 0.55, 5s);
     auto from = fleet.now;
     fleet.load(rule.perSecond * 6, 20s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
     // What it is allowed it gets all the same.
     CHECK(fleet.admittedSince(from) >= rule.perSecond * 20 * 0.95);
 }
@@ -45,7 +45,7 @@
 {
     constexpr double bytesPerSecond = 3000;
     Fleet fleet(33, 6);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.messages = 0;
     fleet.load(rule.perSecond * 0.3, 10s);
     auto bytes = encode(QuotaReport { { { accountId("desk"), 3300.5, rule.perSecond, true } }, true, false }).size();
@@ -55,9 +55,9 @@
 TEST_CASE("both sides of a cut go on, and together keep to the limit")
 {
     Fleet fleet(33, 5);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 0.55, 6s);
-    fleet.cut(12, 2);
+    fleet.partition(12, 2);
     SUBCASE("below the limit nobody is refused")
     {
         fleet.load(rule.perSecond * 0.55, 10s);
@@ -66,28 +66,28 @@
     SUBCASE("above it both sides together have the limit run")
     {
         fleet.load(rule.perSecond * 6, 12s);
-        CHECK(fleet.mostInWindow() <= fleet.bound());
+        CHECK(fleet.maxInWindow() <= fleet.bound());
     }
     fleet.heal();
     fleet.load(rule.perSecond * 6, 10s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
 TEST_CASE("gateways that hear no controller keep to the limit together")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 3, 8s);
     for (std::size_t c = 0; c < 3; ++c)
-        fleet.cut(0, 3);
+        fleet.partition(0, 3);
     fleet.load(rule.perSecond * 6, 16s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
 TEST_CASE("what gateways and controllers forget by a restart is not admitted again")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 6, 8s);
     SUBCASE("one controller after the other")
     {
@@ -114,40 +114,40 @@
             fleet.restartController(c);
         for (std::size_t g = 0; g < 33; ++g)
             fleet.restartGateway(g);
-        fleet.pass(1s);
+        fleet.advance(1s);
     }
     fleet.load(rule.perSecond * 6, 10s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
 TEST_CASE("an account that nobody uses is shared between the sides of a cut, and each sets aside the other's part")
 {
     Fleet fleet(11, 3);
-    fleet.pass(3s);
-    fleet.cut(5, 1);
+    fleet.advance(3s);
+    fleet.partition(5, 1);
     fleet.load(rule.perSecond, 2s);
     fleet.load(rule.perSecond * 4, 12s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
 TEST_CASE("gateways that are cut off one after the other share what those before them left")
 {
     Fleet fleet(10, 1);
-    fleet.pass(3s);
-    for (std::size_t heard = 10; heard > 0; --heard) {
+    fleet.advance(3s);
+    for (std::size_t noteContact = 10; noteContact > 0; --noteContact) {
         fleet.load(rule.perSecond * 2, 6s);
-        fleet.cut(heard - 1, 1);
+        fleet.partition(noteContact - 1, 1);
     }
     fleet.load(rule.perSecond * 6, 12s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
 TEST_CASE("a controller that starts during a cut sets aside what its former run did")
 {
     Fleet fleet(14, 2);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 3, 6s);
-    fleet.cut(7, 1);
+    fleet.partition(7, 1);
     SUBCASE("the cut was seen before")
     {
         fleet.load(rule.perSecond * 6, 3s);
@@ -161,15 +161,15 @@
         fleet.restartController(1);
     }
     fleet.load(rule.perSecond * 6, 12s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
 TEST_CASE("a gateway that comes back has its part no longer set aside by a controller that started meanwhile")
 {
     Fleet fleet(14, 2);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 3, 6s);
-    fleet.cut(7, 1);
+    fleet.partition(7, 1);
     fleet.load(rule.perSecond * 3, 3s);
     fleet.restartController(0);
     fleet.restartController(1);
@@ -184,20 +184,20 @@
 TEST_CASE("gateways that are cut off soon after a controller's start take no larger parts than before")
 {
     Fleet fleet(19, 1);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 0.95, 5s);
     fleet.restartController(0);
     SUBCASE("two seconds after") { fleet.load(rule.perSecond * 0.95, 2s); }
     SUBCASE("at once") { fleet.load(rule.perSecond * 0.95, 300ms); }
-    fleet.cut(0, 1);
+    fleet.partition(0, 1);
     fleet.load(rule.perSecond * 6, 12s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
 TEST_CASE("gateways that wake from a freeze go by nothing that they knew before")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 6, 8s);
     for (std::size_t g = 0; g < 16; ++g)
         fleet.freeze(g, true);
@@ -205,13 +205,13 @@
     for (std::size_t g = 0; g < 16; ++g)
         fleet.freeze(g, false);
     fleet.load(rule.perSecond * 6, 8s);
-    CHECK(fleet.mostInWindow() <= fleet.bound());
+    CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
 TEST_CASE("a lower limit holds a window after it came, and a higher one lets more through at once")
 {
     Fleet fleet(33);
-    fleet.pass(3s);
+    fleet.advance(3s);
     fleet.load(rule.perSecond * 0.55, 5s);
     SUBCASE("lower")
     {
@@ -219,7 +219,7 @@
         fleet.load(rule.perSecond * 0.55, 8s);
         fleet.forgetRuns();
         fleet.load(rule.perSecond * 0.55, 20s);
-        CHECK(fleet.mostInWindow() <= fleet.bound());
+        CHECK(fleet.maxInWindow() <= fleet.bound());
         CHECK(fleet.refused);
     }
     SUBCASE("higher")
@@ -237,18 +237,18 @@
 constexpr Instant later = start + 3s;
 
 /// One gateway that hears a controller, and no others.
-struct Single {
-    explicit Single(const QuotaSettings& settings = tolerance, const QuotaRule& limit = rule)
+struct SingleGateway {
+    explicit SingleGateway(const QuotaSettings& settings = tolerance, const QuotaRule& limit = rule)
         : quotas(settings, "gateway-1")
     {
         quotas.setGateways(33);
         quotas.setRules({ { "desk", limit } }, start);
         for (auto at = start; at <= later; at += 1s)
-            hear(at);
+            receiveTotals(at);
     }
-    void hear(Instant now)
+    void receiveTotals(Instant now)
     {
-        quotas.heard(PeerId(500), now);
+        quotas.noteContact(PeerId(500), now);
         quotas.report(now);
         quotas.take(PeerId(500), { {}, true }, now);
     }
@@ -260,69 +260,69 @@
 
 TEST_CASE("who is refused is told when the account may ask again, later the more are told so")
 {
-    Single one;
-    auto verdict = one.quotas.admit("desk", 3300, later);
+    SingleGateway gateway;
+    auto verdict = gateway.quotas.admit("desk", 3300, later);
     while (verdict.isAdmitted)
-        verdict = one.quotas.admit("desk", 3300, later);
+        verdict = gateway.quotas.admit("desk", 3300, later);
     auto first = verdict.retryAfter;
-    auto second = one.quotas.admit("desk", 3300, later).retryAfter;
+    auto second = gateway.quotas.admit("desk", 3300, later).retryAfter;
     CHECK(first > Duration::zero());
     CHECK(toSeconds(second - first) == doctest::Approx(3300 / rule.perSecond).epsilon(0.1));
-    CHECK(!one.admit(3300, later + first / 2));
-    one.hear(later + second);
-    CHECK(one.admit(3300, later + second));
+    CHECK(!gateway.admit(3300, later + first / 2));
+    gateway.receiveTotals(later + second);
+    CHECK(gateway.admit(3300, later + second));
 }
 
 TEST_CASE("what has not run is given back once, to all")
 {
-    Single one;
-    auto& quota = one.quotas.accounts().at("desk");
-    auto before = quota.left(later);
-    one.admit(3300, later);
-    CHECK(quota.left(later) == doctest::Approx(before - 3300));
-    one.quotas.giveBack("desk", 3300, later);
-    CHECK(quota.left(later) == doctest::Approx(before));
+    SingleGateway gateway;
+    auto& quota = gateway.quotas.accounts().at("desk");
+    auto before = quota.remaining(later);
+    gateway.admit(3300, later);
+    CHECK(quota.remaining(later) == doctest::Approx(before - 3300));
+    gateway.quotas.refund("desk", 3300, later);
+    CHECK(quota.remaining(later) == doctest::Approx(before));
     CHECK(quota.unreported() == 0);
 }
 
 TEST_CASE("a request larger than the bucket is admitted when that is full, and paid for afterwards")
 {
-    Single one({ 8s, 0, 0 }, { QuotaRule::Unit::Tokens, 1000, 500, 200 });
-    one.hear(later + 1s);
-    CHECK(one.admit(4000, later + 1s));
-    one.hear(later + 2s);
-    CHECK(!one.admit(10, later + 2s));
+    SingleGateway gateway({ 8s, 0, 0 }, { QuotaRule::Unit::Tokens, 1000, 500, 200 });
+    gateway.receiveTotals(later + 1s);
+    CHECK(gateway.admit(4000, later + 1s));
+    gateway.receiveTotals(later + 2s);
+    CHECK(!gateway.admit(10, later + 2s));
     for (int i = 3; i <= 6; ++i)
-        one.hear(later + i * 1s);
-    CHECK(one.admit(100, later + 6s));
+        gateway.receiveTotals(later + i * 1s);
+    CHECK(gateway.admit(100, later + 6s));
 }
 
 TEST_CASE("another controller's totals hold the same use once more, and are passed over")
 {
-    Single one;
-    one.quotas.heard(PeerId(501), later);
-    auto& quota = one.quotas.accounts().at("desk");
-    auto before = quota.left(later);
+    SingleGateway gateway;
+    gateway.quotas.noteContact(PeerId(501), later);
+    auto& quota = gateway.quotas.accounts().at("desk");
+    auto before = quota.remaining(later);
     QuotaTotals totals { { { accountId("desk"), 1000, 5000, 0, true } } };
-    one.quotas.take(PeerId(501), totals, later);
-    CHECK(quota.left(later) == doctest::Approx(before));
-    one.quotas.take(PeerId(500), totals, later);
-    CHECK(quota.left(later) == doctest::Approx(before - 1000));
+    gateway.quotas.take(PeerId(501), totals, later);
+    CHECK(quota.remaining(later) == doctest::Approx(before));
+    gateway.quotas.take(PeerId(500), totals, later);
+    CHECK(quota.remaining(later) == doctest::Approx(before - 1000));
 }
 
 TEST_CASE("an account that is no longer busy when a gateway changes its controller is not waited for")
 {
-    Single one;
+    SingleGateway gateway;
     QuotaTotals busy { { { accountId("desk"), 1000, 5000, 0, true } } };
-    one.quotas.take(PeerId(500), busy, later);
-    one.quotas.gone(PeerId(500));
-    one.quotas.heard(PeerId(501), later + 1s);
-    auto report = one.quotas.report(later + 1s);
+    gateway.quotas.take(PeerId(500), busy, later);
+    gateway.quotas.disconnected(PeerId(500));
+    gateway.quotas.noteContact(PeerId(501), later + 1s);
+    auto report = gateway.quotas.report(later + 1s);
     REQUIRE(report);
-    REQUIRE((report->teller == PeerId(501)));
+    REQUIRE((report->totalsSource == PeerId(501)));
     if (report->asksForAll)
-        one.quotas.take(PeerId(501), { {}, true }, later + 1s);
-    CHECK(!one.quotas.accounts().at("desk").use(later + 1s).isAlone);
+        gateway.quotas.take(PeerId(501), { {}, true }, later + 1s);
+    CHECK(!gateway.quotas.accounts().at("desk").usage(later + 1s).isIsolated);
 }
 
 TEST_CASE("whatever fails, no window holds more than is allowed")
@@ -331,13 +331,13 @@
         auto gateways = *rc::gen::inRange(2, 13);
         auto controllers = *rc::gen::inRange(1, 5);
         Fleet fleet(gateways, controllers);
-        fleet.pass(3s);
+        fleet.advance(3s);
         for (int i = 0; i < 2; ++i) {
             fleet.load(rule.perSecond * *rc::gen::inRange(0, 7), *rc::gen::inRange(10, 80) * 100ms);
             auto which = static_cast<std::size_t>(*rc::gen::inRange(0, 1000));
             auto kind = *rc::gen::inRange(0, 4);
             if (kind == 0)
-                fleet.cut(which % gateways, which / 7 % (controllers + 1));
+                fleet.partition(which % gateways, which / 7 % (controllers + 1));
             else if (kind == 1)
                 fleet.restartGateway(which % gateways);
             else if (kind == 2)
@@ -350,6 +350,6 @@
             fleet.freeze(which % gateways, false);
             fleet.load(rule.perSecond * load, 8s);
         }
-        RC_ASSERT(fleet.mostInWindow() <= fleet.bound());
+        RC_ASSERT(fleet.maxInWindow() <= fleet.bound());
     }));
 }
--- a/test/correctness/RaftTest.cpp
+++ b/test/correctness/RaftTest.cpp
@@ -82,7 +82,7 @@
     raft.recover();
     CHECK(!sent<VoteReply>(raft.receive("b", voteRequest(5, false), start))[0].granted);
     raft.tick(start + 10s);
-    CHECK(raft.standing() == Raft::Standing::Follower);
+    CHECK(raft.serverState() == Raft::ServerState::Follower);
 }
 
 TEST_CASE("a shorter or older log gets no vote")
--- a/test/correctness/RegistryTest.cpp
+++ b/test/correctness/RegistryTest.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr Instant start { std::chrono::seconds(1000) };
-constexpr auto unrenewed = ReplicaRegistry::Names::Unrenewed;
-constexpr PeerId first { 1 };
+constexpr auto stale = ReplicaRegistry::HeartbeatScope::Stale;
+constexpr PeerId firstPeer { 1 };
 constexpr PeerId second { 2 };
 
 Announcement replica(int n, std::uint64_t sequence = 1, ReplicaStart began = {}, ReplicaState state = ReplicaState::Ready)
@@ -41,7 +41,7 @@
 }
 
 /// What a process learns from another one's answer.
-void take(ReplicaRegistry& registry, const RegistryList& list, Instant now)
+void apply(ReplicaRegistry& registry, const RegistryList& list, Instant now)
 {
     for (const auto& announced : list.known)
         registry.announce(announced.announcement, announced.age, now);
@@ -59,10 +59,10 @@
     // controller tells each link the age of each replica once a second. Cause: what has not changed was told again.
     auto few = registryOf(10);
     auto many = registryOf(10000);
-    auto bytes = [](const ReplicaRegistry& registry) { return encode(registry.heartbeat(unrenewed, start + 1s)).size(); };
+    auto bytes = [](const ReplicaRegistry& registry) { return encode(registry.heartbeat(stale, start + 1s)).size(); };
     CHECK(bytes(many) <= bytes(few) + 8);
     many.renew({ "i-7", {} }, 0s, start + 5s);
-    auto heartbeat = many.heartbeat(unrenewed, start + 5s);
+    auto heartbeat = many.heartbeat(stale, start + 5s);
     CHECK(heartbeat.ages.size() == 9999);
     CHECK_FALSE(heartbeat.ages.contains("i-7"));
 }
@@ -75,7 +75,7 @@
         auto now = start + second * 1s;
         for (int i = 1; i < 20; ++i)
             sender.announce(replica(i, static_cast<std::uint64_t>(second) + 1), 0s, now);
-        receiver.renew(sender.heartbeat(unrenewed, now), now);
+        receiver.renew(sender.heartbeat(stale, now), now);
         for (int i = 1; i < 20; ++i)
             CHECK_FALSE(receiver.entries().at("i-" + std::to_string(i)).isOverdue(now));
     }
@@ -90,7 +90,7 @@
     auto receiver = registryOf(2);
     for (auto now = start; now < start + 20s; now += 1s) {
         sender.announce(replica(1, static_cast<std::uint64_t>(now.time_since_epoch().count())), 0s, now);
-        receiver.renew(sender.heartbeat(unrenewed, now), now);
+        receiver.renew(sender.heartbeat(stale, now), now);
         if (sender.entries().at("i-0").isSilent(now - 1s))
             CHECK(receiver.entries().at("i-0").isSilent(now));
     }
@@ -110,19 +110,19 @@
         if (i % 12 == 0)
             a.announce(replica(1, static_cast<std::uint64_t>(i)), 0s, now);
         if (i % 10 == 3) {
-            b.renew(a.heartbeat(ReplicaRegistry::Names::All, now), now);
-            gateway.renew(a.heartbeat(unrenewed, now), now);
+            b.renew(a.heartbeat(ReplicaRegistry::HeartbeatScope::All, now), now);
+            gateway.renew(a.heartbeat(stale, now), now);
         }
         if (i % 10 == 7) {
-            a.renew(b.heartbeat(ReplicaRegistry::Names::All, now), now);
-            gateway.renew(b.heartbeat(unrenewed, now), now);
+            a.renew(b.heartbeat(ReplicaRegistry::HeartbeatScope::All, now), now);
+            gateway.renew(b.heartbeat(stale, now), now);
         }
         for (const auto* registry : { &a, &b, &gateway })
             CHECK_FALSE(registry->entries().at("i-1").isSilent(now));
     }
     for (const auto* registry : { &a, &b, &gateway }) {
         CHECK(registry->entries().at("i-0").isSilent(now));
-        CHECK(registry->entries().at("i-0").heardAt <= start + ReplicaRegistry::usualAge);
+        CHECK(registry->entries().at("i-0").lastHeardAt <= start + ReplicaRegistry::assumedAge);
     }
 }
 
@@ -134,20 +134,20 @@
     auto receiver = registryOf(3);
     sender.announce(replica(0, 1, ReplicaStart(5)), 0s, start + 3s);
     sender.renew({ "i-1", {} }, 0s, start + 10s);
-    auto heartbeat = sender.heartbeat(unrenewed, start + 10s);
+    auto heartbeat = sender.heartbeat(stale, start + 10s);
     CHECK(heartbeat.digest != receiver.digest());
     receiver.renew(heartbeat, start + 10s);
-    CHECK((receiver.entries().at("i-0").heardAt == start));
-    CHECK((receiver.entries().at("i-1").heardAt == start));
-    CHECK((receiver.entries().at("i-2").heardAt == start));
+    CHECK((receiver.entries().at("i-0").lastHeardAt == start));
+    CHECK((receiver.entries().at("i-1").lastHeardAt == start));
+    CHECK((receiver.entries().at("i-2").lastHeardAt == start));
 }
 
 TEST_CASE("a heartbeat of a release that sends no digest renews what it names, and nothing else")
 {
     auto receiver = registryOf(2);
     receiver.renew(RegistryHeartbeat { { { "i-0", 0s } }, 1, {}, { 0 } }, start + 5s);
-    CHECK((receiver.entries().at("i-0").heardAt == start + 5s));
-    CHECK((receiver.entries().at("i-1").heardAt == start));
+    CHECK((receiver.entries().at("i-0").lastHeardAt == start + 5s));
+    CHECK((receiver.entries().at("i-1").lastHeardAt == start));
 }
 
 TEST_CASE("the digest tells apart what is news, and nothing else")
@@ -165,7 +165,7 @@
     {
         for (int i = 1; i < 5; ++i)
             registry.renew({ "i-" + std::to_string(i), {} }, 0s, start + 50s);
-        registry.forgetOld(start + 62s);
+        registry.removeExpired(start + 62s);
     }
     CHECK(registry.digest() != before);
 }
@@ -175,7 +175,7 @@
     auto registry = registryOf(1);
     auto before = registry.digest();
     registry.changeStage({ "i-0", UpstreamKind::Decode, 5s, {} }, start);
-    registry.forgetOld(start + 6s);
+    registry.removeExpired(start + 6s);
     CHECK(registry.digest() == before);
 }
 
@@ -195,8 +195,8 @@
                     registry->withdraw(of.run(), start);
             }
         }
-        take(a, b.list(start), start);
-        take(b, a.list(start), start);
+        apply(a, b.list(start), start);
+        apply(b, a.list(start), start);
         // Two announcements of one run with the same number may differ here, as no replica's do; then each keeps its own.
         for (const auto& [id, entry] : a.entries())
             RC_ASSERT(b.find(entry.announcement.run()));
@@ -207,32 +207,32 @@
 TEST_CASE("one process is asked at a time, another one when it does not answer, and none that knows nothing")
 {
     RegistryFollower follower;
-    follower.told(first, 7, 0);
-    CHECK_FALSE(follower.nextToAsk(1, start));
-    follower.told(first, 7, 5);
-    follower.told(second, 7, 5);
-    CHECK((follower.nextToAsk(1, start) == first));
-    CHECK_FALSE(follower.nextToAsk(1, start + 100ms));
-    CHECK((follower.nextWake() == start + RegistryFollower::answerLimit));
+    follower.digestReceived(firstPeer, 7, 0);
+    CHECK_FALSE(follower.nextPeerToQuery(1, start));
+    follower.digestReceived(firstPeer, 7, 5);
+    follower.digestReceived(second, 7, 5);
+    CHECK((follower.nextPeerToQuery(1, start) == firstPeer));
+    CHECK_FALSE(follower.nextPeerToQuery(1, start + 100ms));
+    CHECK((follower.nextWake() == start + RegistryFollower::responseTimeout));
     SUBCASE("the answer makes both agree")
     {
-        follower.listed(first);
-        CHECK_FALSE(follower.nextToAsk(7, start + 200ms));
+        follower.listReceived(firstPeer);
+        CHECK_FALSE(follower.nextPeerToQuery(7, start + 200ms));
         CHECK((follower.nextWake() == Instant::max()));
     }
-    SUBCASE("no answer") { CHECK((follower.nextToAsk(1, start + RegistryFollower::answerLimit) == second)); }
+    SUBCASE("no answer") { CHECK((follower.nextPeerToQuery(1, start + RegistryFollower::responseTimeout) == second)); }
     SUBCASE("its link ends")
     {
-        follower.gone(first);
-        CHECK((follower.nextToAsk(1, start + 100ms) == second));
+        follower.disconnected(firstPeer);
+        CHECK((follower.nextPeerToQuery(1, start + 100ms) == second));
     }
     SUBCASE("the answer leaves a difference: each is asked once a second")
     {
-        follower.listed(first);
-        CHECK((follower.nextToAsk(3, start + 100ms) == second));
-        follower.listed(second);
-        CHECK_FALSE(follower.nextToAsk(3, start + 900ms));
-        CHECK((follower.nextToAsk(3, start + RegistryFollower::askAgainAfter) == first));
+        follower.listReceived(firstPeer);
+        CHECK((follower.nextPeerToQuery(3, start + 100ms) == second));
+        follower.listReceived(second);
+        CHECK_FALSE(follower.nextPeerToQuery(3, start + 900ms));
+        CHECK((follower.nextPeerToQuery(3, start + RegistryFollower::retryInterval) == firstPeer));
     }
 }
 
@@ -242,22 +242,23 @@
     // a gateway that has linked to them 185 replicas each, one message a replica. Cause: what one had told was told by all others too.
     auto known = registryOf(185);
     ForwardLogic gateway({ "z", 1, { 0.2, 60, 10s }, "gateway" });
-    auto asked = [](const ForwardLogic::Effects& effects) {
+    auto requestsIn = [](const ForwardLogic::Effects& effects) {
         std::vector<PeerId> list;
         for (const auto& effect : effects) {
-            if (const auto* ask = std::get_if<forward::AskRegistry>(&effect))
+            if (const auto* ask = std::get_if<forward::FetchRegistry>(&effect))
                 list.push_back(ask->controller);
         }
         return list;
     };
     std::vector<PeerId> all;
     for (std::uint64_t n = 1; n <= 10; ++n) {
-        for (auto id : asked(gateway.step(forward::RegistryTold { PeerId(n), known.heartbeat(unrenewed, start) }, start)))
+        for (auto id : requestsIn(gateway.step(forward::RegistryHeartbeatReceived { PeerId(n), known.heartbeat(stale, start) }, start)))
             all.push_back(id);
     }
     REQUIRE(all.size() == 1);
-    CHECK(asked(gateway.step(forward::RegistryListed { all.front(), known.list(start) }, start + 50ms)).empty());
+    CHECK(requestsIn(gateway.step(forward::RegistryListReceived { all.front(), known.list(start) }, start + 50ms)).empty());
     CHECK(gateway.replicas().registry().digest() == known.digest());
     for (std::uint64_t n = 1; n <= 10; ++n)
-        CHECK(asked(gateway.step(forward::RegistryTold { PeerId(n), known.heartbeat(unrenewed, start + 1s) }, start + 1s)).empty());
+        CHECK(requestsIn(gateway.step(forward::RegistryHeartbeatReceived { PeerId(n), known.heartbeat(stale, start + 1s) }, start + 1s))
+                  .empty());
 }
--- a/test/correctness/ReplicaTest.cpp
+++ b/test/correctness/ReplicaTest.cpp
@@ -2,8 +2,8 @@
  * What is learnt of replicas: announcements, placement, the retry budget, and the queue for places.
  */
 #include "request/fleet/SharedRetryBudget.h"
-#include "request/forward/PlaceQueue.h"
 #include "request/forward/ReplicaTable.h"
+#include "request/forward/ReservationQueue.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -27,9 +27,9 @@
     return a;
 }
 
-ReplicaTable::Need need()
+ReplicaTable::Criteria need()
 {
-    ReplicaTable::Need need;
+    ReplicaTable::Criteria need;
     need.service = "s";
     return need;
 }
@@ -59,7 +59,7 @@
     ReplicaTable table("z", 1);
     table.registry().announce(announcement("silent", 1), 10s, start);
     CHECK(table.choose(need(), {}, start)->run.id == "silent");
-    table.heardController(start);
+    table.noteControllerContact(start);
     table.registry().announce(announcement("heard", 1), 0s, start);
     for (int i = 0; i < 20; ++i)
         CHECK(table.choose(need(), {}, start)->run.id == "heard");
@@ -70,7 +70,7 @@
 {
     // Symptom: a third of the calls fail though every health check is good. Cause: health is asked for and not learnt from calls.
     ReplicaTable table("z", 1);
-    table.heardController(start);
+    table.noteControllerContact(start);
     table.registry().announce(announcement("good", 1), 0s, start);
     table.registry().announce(announcement("grey", 1), 0s, start);
     std::map<std::string, int> chosen;
@@ -88,15 +88,15 @@
 TEST_CASE("a replica that can't be reached is left alone for a time that doubles")
 {
     ReplicaTable table("z", 1);
-    table.heardController(start);
+    table.noteControllerContact(start);
     table.registry().announce(announcement("gone", 1), 0s, start);
     table.registry().announce(announcement("there", 1), 0s, start);
     table.begin({ "gone", {} }, 0);
     table.end({ "gone", {} }, 0, CallOutcome::Unreachable, 0s, start);
-    auto first = table.loads().at({ "gone", {} }).avoidUntil - start;
+    auto first = table.loads().at({ "gone", {} }).backoffUntil - start;
     table.begin({ "gone", {} }, 0);
     table.end({ "gone", {} }, 0, CallOutcome::Unreachable, 0s, start);
-    CHECK(table.loads().at({ "gone", {} }).avoidUntil - start == 2 * first);
+    CHECK(table.loads().at({ "gone", {} }).backoffUntil - start == 2 * first);
     CHECK(table.choose(need(), {}, start)->run.id == "there");
 }
 
@@ -161,8 +161,8 @@
     SharedRetryBudget budget({ 0.2, 100, 10s });
     budget.setGateways(1, start);
     budget.countRequest("s", start);
-    CHECK(budget.left("s", start) < 0.41 * 100.2);
-    CHECK(budget.left("s", start + 11s) > 0.79 * 100);
+    CHECK(budget.remaining("s", start) < 0.41 * 100.2);
+    CHECK(budget.remaining("s", start + 11s) > 0.79 * 100);
 }
 
 TEST_CASE("a replica that is not what it announced is not asked again before its next announcement")
@@ -171,7 +171,7 @@
     // out; the replica refuses what is meant for its former stage. Cause: it was asked again after 0.4 s, by each request anew.
     ReplicaTable table("z", 1);
     table.registry().announce(announcement("a", 1), 0s, start);
-    table.heardController(start);
+    table.noteControllerContact(start);
     table.begin({ "a", {} }, 0);
     table.end({ "a", {} }, 0, CallOutcome::Misdirected, 1ms, start);
     CHECK(!table.choose(need(), {}, start + 1900ms));
@@ -180,19 +180,19 @@
 
 TEST_CASE("those who can be in time go first, by rank and arrival, and leave when they can't")
 {
-    PlaceQueue queue;
+    ReservationQueue queue;
     auto id = [](std::uint64_t n) { return RequestId { PeerId(1), n }; };
-    queue.add(PlaceQueue::makeWaiter(id(1), 1, start, start + 600ms, start));
-    queue.add(PlaceQueue::makeWaiter(id(2), 1, start + 10ms, start - 1s, start + 10ms));
-    queue.add(PlaceQueue::makeWaiter(id(3), 1, start + 20ms, start + 620ms, start + 20ms));
-    queue.add(PlaceQueue::makeWaiter(id(4), 0, start + 30ms, start + 630ms, start + 30ms));
+    queue.add(ReservationQueue::makeWaiter(id(1), 1, start, start + 600ms, start));
+    queue.add(ReservationQueue::makeWaiter(id(2), 1, start + 10ms, start - 1s, start + 10ms));
+    queue.add(ReservationQueue::makeWaiter(id(3), 1, start + 20ms, start + 620ms, start + 20ms));
+    queue.add(ReservationQueue::makeWaiter(id(4), 0, start + 30ms, start + 630ms, start + 30ms));
     CHECK((queue.inOrder(start + 40ms) == std::vector { id(4), id(1), id(3), id(2) }));
     // The late one leaves first: it waits only for what others leave.
-    auto lateLeaves = start + 10ms + PlaceQueue::lateWait;
-    CHECK((queue.nextLeave() == lateLeaves));
-    CHECK((queue.takeLeaving(lateLeaves) == std::vector { id(2) }));
-    CHECK((queue.nextLeave() == start + 600ms));
-    CHECK((queue.takeLeaving(start + 600ms) == std::vector { id(1) }));
-    CHECK((queue.takeLeaving(start + 630ms) == std::vector { id(3), id(4) }));
+    auto lateLeaves = start + 10ms + ReservationQueue::maxLateWait;
+    CHECK((queue.nextExpiry() == lateLeaves));
+    CHECK((queue.takeExpired(lateLeaves) == std::vector { id(2) }));
+    CHECK((queue.nextExpiry() == start + 600ms));
+    CHECK((queue.takeExpired(start + 600ms) == std::vector { id(1) }));
+    CHECK((queue.takeExpired(start + 630ms) == std::vector { id(3), id(4) }));
     CHECK(queue.size() == 0);
 }
--- a/test/correctness/ReplicationTest.cpp
+++ b/test/correctness/ReplicationTest.cpp
@@ -37,60 +37,60 @@
 }
 
 /// A leader and a member with an empty log, joined by a link; a third member acknowledges all at once.
-class LeaderAndLaggard {
+class LeaderAndFollower {
 public:
-    explicit LeaderAndLaggard(raft::Recovered content)
+    explicit LeaderAndFollower(raft::Recovered content)
         : m_leader(settingsOf("a"), std::move(content), start)
-        , m_laggard(settingsOf("b"), recoveredAt(1), start)
+        , m_follower(settingsOf("b"), recoveredAt(1), start)
     {
         m_leader.recover();
-        m_laggard.recover();
+        m_follower.recover();
         m_now = m_leader.nextWake();
         m_leader.tick(m_now);
         auto term = m_leader.term() + 1;
         m_leader.receive("c", VoteReply { term, true, true, DiskId('c') }, m_now);
-        carry(m_leader.receive("c", VoteReply { term, true, false, DiskId('c') }, m_now));
+        perform(m_leader.receive("c", VoteReply { term, true, false, DiskId('c') }, m_now));
         REQUIRE(m_leader.isLeader());
     }
 
     /// The member stands still, and what it is sent waits.
-    void standStillFor(int heartbeats)
+    void suspendFollowerFor(int heartbeats)
     {
         for (int i = 0; i < heartbeats; ++i) {
             m_now += heartbeat;
-            carry(m_leader.tick(m_now));
+            perform(m_leader.tick(m_now));
         }
     }
 
     /// What was sent to the member so far arrives, and its answers do; what the leader sends then waits.
     void deliverOnce()
     {
-        auto there = std::exchange(m_toLaggard, {});
-        for (auto& message : there) {
-            for (auto& effect : m_laggard.receive("a", message, m_now)) {
+        auto toFollower = std::exchange(m_toFollower, {});
+        for (auto& message : toFollower) {
+            for (auto& effect : m_follower.receive("a", message, m_now)) {
                 if (auto* send = std::get_if<raft::Send>(&effect); send && send->to == "a")
                     m_toLeader.push_back(std::move(send->message));
             }
         }
-        auto back = std::exchange(m_toLeader, {});
-        for (auto& message : back)
-            carry(m_leader.receive("b", message, m_now));
+        auto toLeader = std::exchange(m_toLeader, {});
+        for (auto& message : toLeader)
+            perform(m_leader.receive("b", message, m_now));
     }
 
     /// Messages go back and forth until there are none.
     void deliverAll()
     {
-        while (!m_toLaggard.empty())
+        while (!m_toFollower.empty())
             deliverOnce();
     }
 
     [[nodiscard]] const Raft& leader() const { return m_leader; }
-    [[nodiscard]] const Raft& laggard() const { return m_laggard; }
+    [[nodiscard]] const Raft& follower() const { return m_follower; }
     /// Bytes that the leader has sent to the member.
     [[nodiscard]] std::size_t sentBytes() const { return m_sentBytes; }
 
 private:
-    void carry(Raft::Effects effects)
+    void perform(Raft::Effects effects)
     {
         for (auto& effect : effects) {
             auto* send = std::get_if<raft::Send>(&effect);
@@ -98,18 +98,18 @@
                 continue;
             if (send->to == "b") {
                 m_sentBytes += encode(send->message).size();
-                m_toLaggard.push_back(std::move(send->message));
+                m_toFollower.push_back(std::move(send->message));
             } else if (const auto* append = std::get_if<AppendRequest>(&send->message)) {
                 AppendReply reply { m_leader.term(), true, m_leader.lastIndex(), append->round, DiskId('c'), true };
-                carry(m_leader.receive("c", reply, m_now));
+                perform(m_leader.receive("c", reply, m_now));
             }
         }
     }
 
     Raft m_leader;
-    Raft m_laggard;
+    Raft m_follower;
     Instant m_now;
-    std::deque<Message> m_toLaggard;
+    std::deque<Message> m_toFollower;
     std::deque<Message> m_toLeader;
     std::size_t m_sentBytes = 0;
 };
@@ -142,10 +142,10 @@
     // stands still while heartbeats wait for it; it then refuses each of them. Cause: each refusal sends all that it lacks.
     auto content = recoveredAt(1);
     content.entries = { { 1, 1, DocumentCommand { 1, std::string(documentBytes, 'x'), 0, {} } } };
-    LeaderAndLaggard pair(content);
-    pair.standStillFor(8);
+    LeaderAndFollower pair(content);
+    pair.suspendFollowerFor(8);
     pair.deliverAll();
-    CHECK(pair.laggard().lastIndex() == pair.leader().lastIndex());
+    CHECK(pair.follower().lastIndex() == pair.leader().lastIndex());
     CHECK(pair.sentBytes() < 2 * documentBytes);
 }
 
@@ -156,11 +156,11 @@
     // repeated.
     auto content = recoveredAt(1);
     content.snapshot = { 10, 1, std::string(documentBytes, 'x') };
-    LeaderAndLaggard pair(content);
+    LeaderAndFollower pair(content);
     pair.deliverOnce();
-    pair.standStillFor(8);
+    pair.suspendFollowerFor(8);
     pair.deliverAll();
-    CHECK(pair.laggard().lastIndex() == pair.leader().lastIndex());
+    CHECK(pair.follower().lastIndex() == pair.leader().lastIndex());
     CHECK(pair.sentBytes() < 2 * documentBytes);
 }
 
@@ -179,7 +179,7 @@
     REQUIRE(storage.sync());
     Raft raft(settingsOf("b"), content, start);
     raft.recover();
-    auto carry = [&storage](const Raft::Effects& effects) {
+    auto perform = [&storage](const Raft::Effects& effects) {
         for (const auto& effect : effects) {
             if (const auto* persist = std::get_if<raft::Persist>(&effect))
                 storage.append(*persist);
@@ -188,9 +188,9 @@
         }
         REQUIRE(storage.sync());
     };
-    carry(raft.receive("a", SnapshotChunk { 2, 15, 2, 0, "state", true }, start));
+    perform(raft.receive("a", SnapshotChunk { 2, 15, 2, 0, "state", true }, start));
     CHECK(raft.lastIndex() == 15);
-    carry(raft.receive("a", AppendRequest { 2, 15, 2, 15, 1, { { 2, 16, NoopCommand {} } } }, start));
+    perform(raft.receive("a", AppendRequest { 2, 15, 2, 15, 1, { { 2, 16, NoopCommand {} } } }, start));
     CHECK(raft.lastIndex() == 16);
     LogStorage again;
     auto recovered = again.open(folder.path(), DiskId('b'));
@@ -258,11 +258,11 @@
     logic.start();
     std::vector<controller::Event> events { controller::PeerUp { helloOf(leaderPeer, Role::Controller, "b") },
         controller::PeerUp { helloOf(gatewayPeer, Role::Gateway, "g") },
-        controller::FromPeer { leaderPeer, AppendRequest { 4, 11, 3, 10, 1, { { 4, 12, NoopCommand {} } } } } };
+        controller::PeerMessage { leaderPeer, AppendRequest { 4, 11, 3, 10, 1, { { 4, 12, NoopCommand {} } } } } };
     auto offer = lastOffer(logic.step(events, start));
     if (offer)
         CHECK_FALSE(offer->isCurrent);
-    events = { controller::FromPeer { leaderPeer, AppendRequest { 4, 12, 4, 12, 2, {} } } };
+    events = { controller::PeerMessage { leaderPeer, AppendRequest { 4, 12, 4, 12, 2, {} } } };
     offer = lastOffer(logic.step(events, start));
     REQUIRE(offer);
     CHECK(offer->version == 6);
@@ -277,7 +277,7 @@
     logic.start();
     constexpr std::uint64_t ticket = 7;
     std::vector<controller::Event> events { controller::PeerUp { helloOf(leaderPeer, Role::Controller, "b") },
-        controller::FromPeer { leaderPeer, AppendRequest { 4, 0, 0, 0, 1, {} } }, controller::LocalRead { ticket } };
+        controller::PeerMessage { leaderPeer, AppendRequest { 4, 0, 0, 0, 1, {} } }, controller::LocalRead { ticket } };
     logic.step(events, start);
     events = { controller::PeerDown { leaderPeer } };
     std::size_t replies = 0;
@@ -316,7 +316,7 @@
     REQUIRE(held.version() == 1);
     std::vector<controller::Event> events;
     for (std::uint64_t version = 2; version <= 9; ++version)
-        events.emplace_back(controller::FromPeer { leaderPeer, Propose { version, held.commandFor(version, textOf(version)) } });
+        events.emplace_back(controller::PeerMessage { leaderPeer, Propose { version, held.commandFor(version, textOf(version)) } });
     step(events);
     for (int i = 0; i < 9; ++i)
         step({ controller::Tick {} });
--- a/test/correctness/RunTest.cpp
+++ b/test/correctness/RunTest.cpp
@@ -59,14 +59,14 @@
 void tellEverything(const ReplicaRegistry& from, ReplicaRegistry& to, Instant now)
 {
     for (const auto& [id, entry] : from.entries())
-        to.announce(entry.announcement, now - entry.heardAt, now);
+        to.announce(entry.announcement, now - entry.lastHeardAt, now);
     for (const auto& [id, ended] : from.withdrawn())
         to.withdraw({ id, ended.start }, now);
 }
 
-ReplicaTable::Need need(UpstreamKind kind)
+ReplicaTable::Criteria need(UpstreamKind kind)
 {
-    ReplicaTable::Need need;
+    ReplicaTable::Criteria need;
     need.service = "s";
     need.kind = kind;
     return need;
@@ -199,7 +199,7 @@
     SUBCASE("a withdrawal") { registry.withdraw({ "a", first }, now); }
     SUBCASE("a change of stage") { CHECK(!registry.changeStage({ "a", UpstreamKind::Prefill, 10s, first }, now)); }
     CHECK(beliefOf(registry) == Belief({ second, 1, ReplicaState::Ready }));
-    CHECK((registry.entries().at("a").heardAt == start));
+    CHECK((registry.entries().at("a").lastHeardAt == start));
     CHECK(!registry.entries().at("a").isChanging(now));
 }
 
@@ -224,7 +224,7 @@
     newer.announce(announcement(second, 1), 0s, start);
     auto now = start + 10s;
     newer.renew({ "a", second }, 0s, now);
-    auto bytes = encode(newer.heartbeat(ReplicaRegistry::Names::All, now));
+    auto bytes = encode(newer.heartbeat(ReplicaRegistry::HeartbeatScope::All, now));
     auto received = decode(bytes);
     REQUIRE(received);
     const auto& heartbeat = std::get<RegistryHeartbeat>(*received);
@@ -232,17 +232,17 @@
     ReplicaRegistry former;
     former.announce(announcement(first, 40), 0s, start);
     former.renew(heartbeat, now);
-    CHECK((former.entries().at("a").heardAt == start));
+    CHECK((former.entries().at("a").lastHeardAt == start));
     ReplicaRegistry same;
     same.announce(announcement(second, 1), 0s, start);
     same.announce(announcement(ReplicaStart(first.value() + 7000), 1, ReplicaState::Ready, "i-10000007"), 0s, start);
     same.renew(heartbeat, now);
-    CHECK((same.entries().at("a").heardAt == now));
-    CHECK((same.entries().at("i-10000007").heardAt == start));
+    CHECK((same.entries().at("a").lastHeardAt == now));
+    CHECK((same.entries().at("i-10000007").lastHeardAt == start));
 
     auto without = heartbeat;
-    without.startedAfter.clear();
-    without.earliest = unsaid;
+    without.startOffsets.clear();
+    without.earliestStart = unsaid;
     CHECK(bytes.size() - encode(without).size() <= 101 * 5 + 12);
 }
 
@@ -252,7 +252,7 @@
     CHECK(registry.announce(announcement(unsaid, 3), 0s, start) == Change::Changed);
     CHECK(registry.announce(announcement(unsaid, 2), 0s, start) == Change::None);
     registry.renew(RegistryHeartbeat { { { "a", 0s } }, 1 }, start + 5s);
-    CHECK((registry.entries().at("a").heardAt == start + 5s));
+    CHECK((registry.entries().at("a").lastHeardAt == start + 5s));
     CHECK(registry.announce(announcement(first, 1), 0s, start) == Change::Restarted);
     CHECK(registry.announce(announcement(unsaid, 9), 0s, start) == Change::None);
     registry.withdraw({ "a", unsaid }, start);
@@ -299,7 +299,7 @@
     registry.announce(announcement(second, 40), 0s, start);
     CHECK(registry.announce(announcement(first, 1), 0s, start + 2s) == Change::None);
     // The former run's entry is not renewed by what the new one says: it ages out.
-    auto later = start + ReplicaRegistry::forgetAfter + 1s;
+    auto later = start + ReplicaRegistry::expiredAfter + 1s;
     CHECK(registry.entries().at("a").isSilent(later));
     // Symptom: a controller never hears of a replica. Sequence: another one has just dropped the old entry, takes the new run and tells
     // it once; this one drops its own half a second later.
@@ -307,7 +307,7 @@
     SUBCASE("in a process that has tidied up since") { hasTidiedUp = true; }
     SUBCASE("in one that has not") { }
     if (hasTidiedUp)
-        registry.forgetOld(later);
+        registry.removeExpired(later);
     CHECK(registry.announce(announcement(first, 50), 0s, later) == Change::Changed);
 }
 
@@ -318,8 +318,8 @@
     ReplicaRegistry registry;
     registry.announce(announcement(first, 40), 0s, start);
     registry.announce(announcement(second, 1), 0s, start + 2s);
-    auto later = start + 2s + ReplicaRegistry::forgetAfter + 1s;
-    registry.forgetOld(later);
+    auto later = start + 2s + ReplicaRegistry::expiredAfter + 1s;
+    registry.removeExpired(later);
     CHECK(registry.entries().empty());
     CHECK(registry.announce(announcement(first, 41), 0s, later) == Change::None);
     CHECK(registry.entries().empty());
@@ -332,7 +332,7 @@
     // Symptom: a replica that has just started is left idle for seconds, or is sent too little for good. Sequence: its former run went
     // dark with calls in progress, which count until they are given up. Cause: the table went by the id.
     ReplicaTable table("z", 1);
-    table.heardController(start);
+    table.noteControllerContact(start);
     ReplicaRun former { "a", first };
     ReplicaRun newer { "a", third };
     table.registry().announce(announcement(first, 40), 0s, start);
@@ -346,15 +346,15 @@
     table.begin(former, 5000);
     table.registry().announce(announcement(third, 1), 0s, start);
     auto wanted = need(UpstreamKind::Prefill);
-    wanted.skipsFull = true;
+    wanted.excludeFull = true;
     wanted.maxCalls = 1;
     auto choice = table.choose(wanted, { former }, start);
     REQUIRE(choice);
     CHECK((choice->run == newer));
     CHECK(table.loads().at(newer).calls == 0);
     CHECK(table.loads().at(newer).meanSeconds == 0);
-    CHECK(table.loads().at(newer).failing == 0);
-    CHECK((table.loads().at(newer).avoidUntil == Instant()));
+    CHECK(table.loads().at(newer).failureRate == 0);
+    CHECK((table.loads().at(newer).backoffUntil == Instant()));
     CHECK(table.meanSeconds("s", UpstreamKind::Prefill) == 0);
     CHECK(!table.isReady(former));
     CHECK(table.zoneOf(former).empty());
@@ -362,11 +362,11 @@
     // The former run's call ends late: it frees, slows and ejects nothing of the newer one.
     table.begin(newer, 100);
     table.end(former, 5000, CallOutcome::Unreachable, 9s, start + 3s);
-    table.noteRoom(former);
+    table.clearFull(former);
     CHECK(table.loads().size() == 1);
     CHECK(table.loads().at(newer).calls == 1);
     CHECK(table.loads().at(newer).tokens == 100);
-    CHECK((table.loads().at(newer).avoidUntil == Instant()));
+    CHECK((table.loads().at(newer).backoffUntil == Instant()));
 }
 
 // --- Connections ------------------------------------------------------------------------------------------------
@@ -447,7 +447,7 @@
     msgpack::type::tuple<std::string, std::string, std::string, std::string, std::string, std::uint32_t, ReplicaState, UpstreamKind,
         Duration, std::uint64_t>
         fields { former.id, former.service, former.address, former.zone, "v1", 4, former.state, former.kind, Duration(0), 40 };
-    REQUIRE(disk::replaceFile(at.folder.path(), "replicas", disk::sealRecord(encodeValue(std::vector { fields }))));
+    REQUIRE(disk::replaceFile(at.folder.path(), "replicas", disk::encodeRecord(encodeValue(std::vector { fields }))));
     auto remembered = ReplicaMemory(at.folder.path(), at.log, at.refusals).load();
     REQUIRE(remembered.size() == 1);
     CHECK(remembered.front().sequence == 40);
--- a/test/correctness/StageTest.cpp
+++ b/test/correctness/StageTest.cpp
@@ -2,7 +2,7 @@
  * Engines that change their stage: what gateways report, what is planned, and that two controllers never order in turns.
  */
 #include "request/engine/EngineLoad.h"
-#include "request/engine/StageOrders.h"
+#include "request/engine/StageCoordinator.h"
 #include "request/engine/StagePlan.h"
 #include "request/forward/ReplicaTable.h"
 
@@ -17,15 +17,15 @@
 constexpr Duration lease = 3s;
 
 /// A pool of engines in two zones, in turn.
-Pool pool(std::size_t prefill, std::size_t decode, double prefillBusy, double decodeBusy)
+Pool pool(std::size_t prefill, std::size_t decode, double prefillLoad, double decodeLoad)
 {
     Pool pool;
     for (std::size_t i = 0; i < prefill + decode; ++i) {
         auto kind = i < prefill ? UpstreamKind::Prefill : UpstreamKind::Decode;
         pool.engines.push_back({ { "e" + std::to_string(i), {} }, "", i % 2 ? "z1" : "z0", kind });
     }
-    pool.prefillBusy = prefillBusy;
-    pool.decodeBusy = decodeBusy;
+    pool.prefillLoad = prefillLoad;
+    pool.decodeLoad = decodeLoad;
     return pool;
 }
 
@@ -73,25 +73,25 @@
         now += d;
         for (const auto& [id, entry] : m_registry.entries())
             m_registry.renew(entry.announcement.run(), Duration(), now);
-        post(Reported { PeerId(7), { { { "llm", busy } } } });
+        post(LoadReported { PeerId(7), { { { "llm", busy } } } });
         post(Tick {});
     }
     /// Leads, and goes on until an order is given.
-    GiveOrder order()
+    SendOrder order()
     {
-        post(Leads { 1 });
+        post(LeadershipChanged { 1 });
         auto read = pass(10s);
         REQUIRE(read);
         REQUIRE(std::holds_alternative<ReadEngine>(*read));
         return order(std::get<ReadEngine>(*read));
     }
-    GiveOrder order(const ReadEngine& read)
+    SendOrder order(const ReadEngine& read)
     {
         post(EngineRead { read.order, EngineState { 4, false } });
-        auto take = std::get<TakeToken>(m_last.front());
+        auto take = std::get<AcquireToken>(m_last.front());
         CHECK(take.engine == read.engine.run.id);
-        post(TokenTaken { take.order, FencingToken(9) });
-        return std::get<GiveOrder>(m_last.front());
+        post(TokenAcquired { take.order, FencingToken(9) });
+        return std::get<SendOrder>(m_last.front());
     }
     template <typename T> std::vector<T> did() const
     {
@@ -114,12 +114,12 @@
     void startAgain(const ReplicaRun& run) { m_registry.announce(engine(run.id, UpstreamKind::Prefill, 1, secondStart), {}, now); }
 
     Instant now = start;
-    EngineBusy busy { 1.0, 3.0, 6s }; ///< What the gateway reports.
+    StageLoad busy { 1.0, 3.0, 6s }; ///< What the gateway reports.
 
 private:
     ReplicaRegistry m_registry;
-    StageOrders m_orders { m_registry, lease, "c1" };
-    StageOrders::Effects m_last;
+    StageCoordinator m_orders { m_registry, lease, "c1" };
+    StageCoordinator::Effects m_last;
 };
 
 } // namespace
@@ -194,7 +194,7 @@
 
 TEST_CASE("a gateway reports the work that it brings, not what waits at a slow or dark replica")
 {
-    EngineFacts facts { 64, 60000, 2s, 500ms, 6s };
+    EngineProperties facts { 64, 60000, 2s, 500ms, 6s };
     EngineLoad load;
     auto now = start;
     load.take(now);
@@ -204,11 +204,11 @@
     EngineLoadReport report;
     for (int tick = 1; tick <= 100; ++tick) {
         now += 100ms;
-        load.noteRead("llm", 5000, tick % 10 ? 100ms : 900ms);
+        load.recordPrefill("llm", 5000, tick % 10 ? 100ms : 900ms);
         load.admit("llm", facts, 5000, 6000, now);
         running.push_back(now);
         if (running.size() > 30) {
-            load.leave("llm", running.front(), true, now);
+            load.finish("llm", running.front(), true, now);
             running.erase(running.begin());
         }
         if (tick % 10 == 0)
@@ -225,11 +225,11 @@
 {
     // Symptom: decode replicas are ordered to the prefill stage seconds after a restart. Sequence: answers take 1 to 9 s; after 6 s
     // mostly short ones have ended, of 2.4 s on average. Cause: the mean of these was taken for the mean of all, 5 s.
-    EngineFacts facts { 64, 60000, 2s, 500ms, 6s };
+    EngineProperties facts { 64, 60000, 2s, 500ms, 6s };
     EngineLoad load;
     auto now = start;
     load.take(now);
-    load.noteRead("llm", 5000, 100ms);
+    load.recordPrefill("llm", 5000, 100ms);
     std::vector<std::pair<Instant, Instant>> running;
     for (int tick = 1; tick <= 60; ++tick) {
         now += 100ms;
@@ -238,7 +238,7 @@
         std::erase_if(running, [&](const auto& item) {
             if (item.second > now)
                 return false;
-            load.leave("llm", item.first, true, now);
+            load.finish("llm", item.first, true, now);
             return true;
         });
     }
@@ -265,7 +265,7 @@
     ReplicaTable table("z", 1);
     auto now = start;
     table.registry().announce(engine(give.engine.run.id, UpstreamKind::Prefill), {}, now);
-    ReplicaTable::Need need;
+    ReplicaTable::Criteria need;
     need.service = "llm";
     need.kind = UpstreamKind::Prefill;
     CHECK(table.choose(need, {}, now));
@@ -287,12 +287,12 @@
     // one gives its own at once. Cause: what the former one had sent was not known to be old.
     Controller controller;
     CHECK(!controller.pass(10s));
-    controller.post(Leads { 5 });
-    CHECK(!controller.pass(lease + StageOrders::beyondLease - 500ms));
+    controller.post(LeadershipChanged { 5 });
+    CHECK(!controller.pass(lease + StageCoordinator::beyondLease - 500ms));
     CHECK(controller.pass(500ms));
     // Another term has another leader between: the wait begins again, and the order under way is dropped.
-    controller.post(Leads { 7 });
-    CHECK(!controller.pass(lease + StageOrders::beyondLease - 500ms));
+    controller.post(LeadershipChanged { 7 });
+    CHECK(!controller.pass(lease + StageCoordinator::beyondLease - 500ms));
     CHECK(controller.pass(500ms));
 }
 
@@ -301,14 +301,14 @@
     // Symptom: an engine gets an older order after a newer one. Sequence: the leader takes a token, is suspended for seconds while
     // another one leads and orders, and goes on. Cause: it still held the token.
     Controller controller;
-    controller.post(Leads { 1 });
+    controller.post(LeadershipChanged { 1 });
     auto read = std::get<ReadEngine>(*controller.pass(10s));
     controller.post(EngineRead { read.order, EngineState { 0, false } });
-    REQUIRE(controller.did<TakeToken>().size() == 1);
+    REQUIRE(controller.did<AcquireToken>().size() == 1);
     controller.now += 8s;
-    controller.post(TokenTaken { read.order, FencingToken(3) });
-    CHECK(controller.did<GiveOrder>().empty());
-    CHECK(controller.did<Note>().front().code == EventCode::StageOrderFailed);
+    controller.post(TokenAcquired { read.order, FencingToken(3) });
+    CHECK(controller.did<SendOrder>().empty());
+    CHECK(controller.did<LogEvent>().front().code == EventCode::StageOrderFailed);
 }
 
 TEST_CASE("after an order without an answer none is given until it can't be carried out any more")
@@ -321,8 +321,8 @@
         if (isTold)
             controller.post(OrderAnswered { give.order, OrderAnswer::None });
         else
-            CHECK(std::holds_alternative<Note>(*controller.pass(StageOrders::stepLimit + 500ms)));
-        CHECK(!controller.pass(StageOrders::lateOrders - 2s));
+            CHECK(std::holds_alternative<LogEvent>(*controller.pass(StageCoordinator::stepTimeout + 500ms)));
+        CHECK(!controller.pass(StageCoordinator::lateOrders - 2s));
         CHECK(controller.pass(3s));
         // The answer to the former order is late now.
         controller.post(OrderAnswered { give.order, OrderAnswer::Accepted });
@@ -334,7 +334,7 @@
 {
     for (int answer = 0; answer < 3; ++answer) {
         Controller controller;
-        controller.post(Leads { 1 });
+        controller.post(LeadershipChanged { 1 });
         auto read = std::get<ReadEngine>(*controller.pass(10s));
         if (answer == 0) {
             controller.post(EngineRead { read.order, std::nullopt });
@@ -361,14 +361,14 @@
     auto givenAt = controller.now;
     // Still far too much for the decode replicas: the next engine follows.
     controller.busy = { 0.1, 6.0, 6s };
-    CHECK(StageOrders::nextInDirection <= 2s);
+    CHECK(StageCoordinator::nextInDirection <= 2s);
     auto next = controller.pass(2s); // Two reports of the load.
     REQUIRE(next);
     CHECK(std::get<ReadEngine>(*next).engine.run.id != from);
     controller.post(EngineRead { std::get<ReadEngine>(*next).order, std::nullopt });
     // Now prefill binds, as far as one can see: nothing is taken back before the change has ended and settled.
     controller.busy = { 6.0, 0.5, 6s };
-    CHECK(!controller.pass(givenAt + 6s + StageOrders::settle - controller.now - 500ms));
+    CHECK(!controller.pass(givenAt + 6s + StageCoordinator::settle - controller.now - 500ms));
     auto back = controller.pass(1s);
     REQUIRE(back);
     CHECK(std::get<ReadEngine>(*back).engine.kind == UpstreamKind::Decode);
@@ -382,7 +382,7 @@
         CAPTURE(prefill);
         Controller controller(prefill, decode);
         controller.busy = { 0.28 * prefill, 0.82 * decode, 6s };
-        controller.post(Leads { 1 });
+        controller.post(LeadershipChanged { 1 });
         REQUIRE(controller.pass(10s));
         std::size_t changes = 0;
         for (auto end = controller.now + 8s; controller.now < end;) {
@@ -410,7 +410,7 @@
         controller.registry().announce(engine(id, UpstreamKind::Prefill), {}, controller.now);
     // With six prefill replicas one would be given away, with the three that are there none.
     controller.busy = { 2.0, 2.8, 6s };
-    controller.post(Leads { 5 });
+    controller.post(LeadershipChanged { 5 });
     bool isOrdering = false;
     for (int i = 0; i < 20; ++i) {
         controller.now += 500ms;
@@ -418,7 +418,7 @@
             controller.registry().renew({ id, {} }, Duration(), controller.now);
         for (const auto* id : { "p4", "p5", "p6" })
             controller.registry().renew({ id, {} }, ReplicaRegistry::overdueAfter + 100ms, controller.now);
-        controller.post(Reported { PeerId(7), { { { "llm", controller.busy } } } });
+        controller.post(LoadReported { PeerId(7), { { { "llm", controller.busy } } } });
         controller.post(Tick {});
         isOrdering = isOrdering || !controller.did<ReadEngine>().empty();
     }
@@ -432,29 +432,29 @@
     // engine was known by its id and its count of orders.
     Controller controller;
     controller.startAll(firstStart);
-    controller.post(Leads { 1 });
+    controller.post(LeadershipChanged { 1 });
     auto read = std::get<ReadEngine>(*controller.pass(10s));
     CHECK(read.engine.run.start == firstStart);
     SUBCASE("while its count is read")
     {
         controller.startAgain(read.engine.run);
         controller.post(EngineRead { read.order, EngineState { 0, false, {} } });
-        CHECK(controller.did<TakeToken>().empty());
-        CHECK(controller.did<Note>().front().code == EventCode::StageOrderFailed);
+        CHECK(controller.did<AcquireToken>().empty());
+        CHECK(controller.did<LogEvent>().front().code == EventCode::StageOrderFailed);
     }
     SUBCASE("when another run answers, which no announcement has told yet")
     {
         controller.post(EngineRead { read.order, EngineState { 0, false, secondStart } });
-        CHECK(controller.did<TakeToken>().empty());
-        CHECK(controller.did<Note>().front().code == EventCode::StageOrderFailed);
+        CHECK(controller.did<AcquireToken>().empty());
+        CHECK(controller.did<LogEvent>().front().code == EventCode::StageOrderFailed);
     }
     SUBCASE("while a token is taken")
     {
         controller.post(EngineRead { read.order, EngineState { 0, false, firstStart } });
-        REQUIRE(controller.did<TakeToken>().size() == 1);
+        REQUIRE(controller.did<AcquireToken>().size() == 1);
         controller.startAgain(read.engine.run);
-        controller.post(TokenTaken { read.order, FencingToken(9) });
-        CHECK(controller.did<GiveOrder>().empty());
+        controller.post(TokenAcquired { read.order, FencingToken(9) });
+        CHECK(controller.did<SendOrder>().empty());
     }
     // Nothing else is held up. The known run is left alone if another one answers for it: no announcement may tell of that one for long.
     for (int i = 0; i < 2; ++i) {
@@ -475,7 +475,7 @@
     controller.post(OrderAnswered { give.order, OrderAnswer::Accepted });
     // Gateways are not told that the newer run changes its stage.
     CHECK(controller.did<StageChange>().empty());
-    CHECK(!controller.pass(StageOrders::lateOrders - 1s));
+    CHECK(!controller.pass(StageCoordinator::lateOrders - 1s));
     CHECK(controller.pass(2s));
 }
 
--- a/test/correctness/StorageTest.cpp
+++ b/test/correctness/StorageTest.cpp
@@ -32,7 +32,7 @@
     return recovered.value().entries.size();
 }
 
-void damage(const std::string& file, std::streamoff at)
+void corruptByte(const std::string& file, std::streamoff at)
 {
     std::fstream f(file, std::ios::in | std::ios::out | std::ios::binary);
     f.seekg(at);
@@ -100,7 +100,7 @@
         REQUIRE(storage.open(folder.path(), DiskId(7)));
         writeEach(storage, 1, 10);
     }
-    damage(folder.file("log"), 100);
+    corruptByte(folder.file("log"), 100);
     LogStorage storage;
     auto recovered = storage.open(folder.path(), DiskId(7));
     REQUIRE(!recovered);
@@ -117,7 +117,7 @@
             REQUIRE(storage.open(folder.path(), DiskId(7)));
             REQUIRE(storage.saveSnapshot({ 1, 1, "state" }));
         }
-        damage(folder.file(file), 13);
+        corruptByte(folder.file(file), 13);
         LogStorage storage;
         CHECK(storage.open(folder.path(), DiskId(7)).error().code == ResultCode::StorageCorrupt);
     }
@@ -194,7 +194,7 @@
         REQUIRE(storage.sync());
     }
     auto size = std::filesystem::file_size(folder.file("log"));
-    damage(folder.file("log"), static_cast<std::streamoff>(size) - 40);
+    corruptByte(folder.file("log"), static_cast<std::streamoff>(size) - 40);
     CHECK(recoveredEntries(folder.path()) == 3);
 }
 
--- a/test/correctness/StreamForecastTest.cpp
+++ b/test/correctness/StreamForecastTest.cpp
@@ -17,7 +17,7 @@
 TEST_CASE("nothing is forecast from a few streams, nor for another service")
 {
     StreamForecast forecast;
-    for (std::size_t i = 0; i + 1 < StreamForecast::needed; ++i)
+    for (std::size_t i = 0; i + 1 < StreamForecast::minSamples; ++i)
         forecast.note("engine", expected, 200ms, 2s);
     CHECK(!forecast.longest("engine", expected));
     forecast.note("engine", expected, 200ms, 2s);
@@ -28,7 +28,7 @@
 TEST_CASE("a forecast grows with what the caller expects, also beyond the longest stream")
 {
     StreamForecast forecast;
-    for (std::size_t i = 0; i < StreamForecast::needed; ++i)
+    for (std::size_t i = 0; i < StreamForecast::minSamples; ++i)
         forecast.note("engine", expected, 200ms, 2s);
     forecast.note("engine", expected, 600ms, 8s);
     CHECK(forecast.longest("engine", 100) == 600ms + 1600ms);
@@ -41,7 +41,7 @@
 {
     StreamForecast forecast;
     forecast.note("engine", expected, 200ms, 60s);
-    for (std::size_t i = 0; i < StreamForecast::remembered; ++i)
+    for (std::size_t i = 0; i < StreamForecast::maxSamples; ++i)
         forecast.note("engine", expected, 200ms, 2s);
     CHECK(forecast.longest("engine", expected) == 2200ms);
 }
--- a/test/failure/QuotaTortureTest.cpp
+++ b/test/failure/QuotaTortureTest.cpp
@@ -26,26 +26,26 @@
     }
 
     /// \returns the most that was admitted in a window, as a part of what is allowed.
-    double play()
+    double run()
     {
-        m_fleet.pass(draw(0, 4) * 1s);
+        m_fleet.advance(draw(0, 4) * 1s);
         for (int i = 0; i < 12; ++i) {
-            fail();
+            injectFailure();
             auto load = draw(1, 7);
             m_fleet.load(rule.perSecond * static_cast<double>(load), draw(1, 30) * 100ms);
         }
-        return m_fleet.mostInWindow() / m_fleet.bound();
+        return m_fleet.maxInWindow() / m_fleet.bound();
     }
 
 private:
     std::size_t draw(std::size_t from, std::size_t to) { return from + m_random() % (to - from); }
 
-    void fail()
+    void injectFailure()
     {
         auto which = draw(0, 1000);
         switch (draw(0, 6)) {
         case 0:
-            return m_fleet.cut(which % m_gateways, which / 7 % (m_controllers + 1));
+            return m_fleet.partition(which % m_gateways, which / 7 % (m_controllers + 1));
         case 1:
             return m_fleet.heal();
         case 2:
@@ -69,13 +69,13 @@
 {
     auto seed = argc > 1 ? static_cast<std::uint32_t>(std::stoul(argv[1])) : 1;
     auto schedules = argc > 2 ? std::stoul(argv[2]) : 300;
-    std::size_t over = 0;
-    double most = 0;
+    std::size_t exceeded = 0;
+    double highest = 0;
     for (std::uint32_t i = 0; i < schedules; ++i) {
-        auto part = Schedule(seed * 1'000'003 + i).play();
-        over += part > 1;
-        most = std::max(most, part);
+        auto fraction = Schedule(seed * 1'000'003 + i).run();
+        exceeded += fraction > 1;
+        highest = std::max(highest, fraction);
     }
-    std::printf("%zu of %lu schedules beyond the bound, at most %.2f of it\n", over, schedules, most);
-    return over ? EXIT_FAILURE : EXIT_SUCCESS;
+    std::printf("%zu of %lu schedules beyond the bound, at most %.2f of it\n", exceeded, schedules, highest);
+    return exceeded ? EXIT_FAILURE : EXIT_SUCCESS;
 }
--- a/test/failure/SnapshotTest.cpp
+++ b/test/failure/SnapshotTest.cpp
@@ -26,8 +26,8 @@
     leader.name = "b";
     leader.disk = DiskId(2);
     std::vector<controller::Event> events { PeerUp { leader },
-        FromPeer { PeerId(2), AppendRequest { 1, 0, 0, 0, 1, { { 1, 1, NoopCommand {} } } } },
-        FromPeer { PeerId(2), SnapshotChunk { 1, 5, 1, 0, "bytes of another release", true } } };
+        PeerMessage { PeerId(2), AppendRequest { 1, 0, 0, 0, 1, { { 1, 1, NoopCommand {} } } } },
+        PeerMessage { PeerId(2), SnapshotChunk { 1, 5, 1, 0, "bytes of another release", true } } };
     auto effects = logic.step(events, now);
     for (const auto& effect : effects)
         CHECK(!std::holds_alternative<raft::SaveSnapshot>(effect));
--- a/test/fuzz/FuzzTest.cpp
+++ b/test/fuzz/FuzzTest.cpp
@@ -121,8 +121,8 @@
         require(route.maxAttempts > 0, "a route has an attempt");
     }
     for (const auto& service : document.services) {
-        requireSpan(service.engine.placeHold);
-        requireSpan(service.engine.promptHold);
+        requireSpan(service.engine.reservationTimeout);
+        requireSpan(service.engine.kvRetention);
         requireSpan(service.engine.stageChange);
     }
     requireSpan(document.limits.headerTime);
@@ -174,16 +174,16 @@
         at = end + 1;
     }
     auto words = Dialect::readCaller(request);
-    if (words.ask.patience)
-        requireSpan(*words.ask.patience);
+    if (words.ask.callerTimeout)
+        requireSpan(*words.ask.callerTimeout);
     forward::Send send;
     send.replica = { "i-1", {} };
-    send.timeLeft = words.ask.patience.value_or(1s);
+    send.timeLeft = words.ask.callerTimeout.value_or(1s);
     send.resumeAfter = words.ask.resumeAfter;
     auto out = Dialect::upstreamRequest(request, send);
     require(out.bytes.find(": i-1\r\n") != std::string::npos, "the replica that is meant is named");
     (void)Dialect::readAnswer({ 200, request.headers }, words.id);
-    return words.ask.patience.has_value();
+    return words.ask.callerTimeout.has_value();
 }
 
 bool message(const std::string& input)
@@ -202,7 +202,7 @@
     // As it comes from a disk, and as another release may have written it.
     (void)ReplicaMemory::read(input, [](const std::string&) {});
     auto list = ReplicaMemory::read(
-        disk::sealRecord(input), [](const std::string& why) { require(!why.empty() && why.size() < 400, "a reason is given"); });
+        disk::encodeRecord(input), [](const std::string& why) { require(!why.empty() && why.size() < 400, "a reason is given"); });
     if (!list)
         return false;
     for (const auto& announcement : *list)
@@ -216,10 +216,10 @@
     static Folder folder;
     auto name = input.empty() || input[0] % 3 == 0 ? "log" : input[0] % 3 == 1 ? "snapshot" : "identity";
     auto bytes = input.empty() ? input : input.substr(1);
-    for (const auto& content : { bytes, disk::sealRecord(bytes) }) {
+    for (const auto& content : { bytes, disk::encodeRecord(bytes) }) {
         std::filesystem::remove_all(folder.file("data"));
         std::filesystem::create_directory(folder.file("data"));
-        std::ofstream(folder.file("data/identity"), std::ios::binary) << disk::sealRecord(encodeValue(DiskId(7)));
+        std::ofstream(folder.file("data/identity"), std::ios::binary) << disk::encodeRecord(encodeValue(DiskId(7)));
         std::ofstream(folder.file(std::string("data/") + name), std::ios::binary) << content;
         (void)disk::hasRecordAfter(content, 0);
         LogStorage storage;
@@ -252,14 +252,15 @@
         { { 3, 3, ConfigCommand { 1, "id", "me", { { "a", "b" } }, { "c" } } }, { 3, 4, FenceCommand { "u", "o" } },
             { 3, 5, DocumentCommand { 7, "{}", 0, {} } }, { 3, 6, DocumentCommand { 8, "", 7, changeBetween("{}", "{ }") } },
             { 3, 7, MembersCommand { { "x", "y" } } } } };
-    std::vector<Message> list { hello, Announced { a, 1s }, Withdrawn { "i-1" }, RegistryHeartbeat { { { "i-1", 1s } }, 3 }, append,
-        AppendReply { 3, true, 4, 9, DiskId(5) }, ProposeReply {}, Propose { 1, ReplaceDiskCommand { "c", DiskId(4) } },
-        VoteRequest { 1, 2, 3, true, DiskId(4) }, SnapshotChunk { 1, 2, 3, 0, "bytes", true }, DocumentOffer { 7, true },
-        DocumentRequest { 7, 6, 0 }, DocumentPart { 7, 6, 0, 9, "bytes" }, ControllerRoster { { "10.0.0.1:7" } },
-        EngineLoadReport { { { "app", { 1.5, 2.5, 6s } } } }, StageChange { "i-1", UpstreamKind::Prefill, 6s },
-        ReadIndexReply { 1, true, 2 }, Dispatch {}, SealReply {}, ConfigDelta {}, ResponseHead { {}, Attempt(1), 200, { { "a", "b" } } },
-        Announce {}, ReservationRequest { {}, Attempt(1), "r-1", 5000, 900, 1800, 64 }, ReservationReply { {}, Attempt(1), true, 900 },
-        ReservationEnd { {}, true }, EngineRoom { "10.0.0.1:80", 900, 5000 }, PrefillNotice { {}, 5000, false }, RegistryRequest { 7 },
+    std::vector<Message> list { hello, RelayedAnnouncement { a, 1s }, ReplicaWithdrawn { "i-1" },
+        RegistryHeartbeat { { { "i-1", 1s } }, 3 }, append, AppendReply { 3, true, 4, 9, DiskId(5) }, ProposeReply {},
+        Propose { 1, ReplaceDiskCommand { "c", DiskId(4) } }, VoteRequest { 1, 2, 3, true, DiskId(4) },
+        SnapshotChunk { 1, 2, 3, 0, "bytes", true }, DocumentOffer { 7, true }, DocumentRequest { 7, 6, 0 },
+        DocumentPart { 7, 6, 0, 9, "bytes" }, ControllerRoster { { "10.0.0.1:7" } }, EngineLoadReport { { { "app", { 1.5, 2.5, 6s } } } },
+        StageChange { "i-1", UpstreamKind::Prefill, 6s }, ReadIndexReply { 1, true, 2 }, Dispatch {}, SealReply {}, ConfigDelta {},
+        ResponseHead { {}, Attempt(1), 200, { { "a", "b" } } }, UpstreamAnnouncement {},
+        ReservationRequest { {}, Attempt(1), "r-1", 5000, 900, 1800, 64 }, ReservationReply { {}, Attempt(1), true, 900 },
+        ReservationEnd { {}, true }, EngineHeadroom { "10.0.0.1:80", 900, 5000 }, PrefillNotice { {}, 5000, false }, RegistryRequest { 7 },
         RegistryList { { { a, 1s } }, { { "i-1", UpstreamKind::Prefill, 6s } }, { { "i-2" } } },
         CrashReport { { { RequestFingerprint(7), "i-1", {}, 1s, 1s } }, { { RequestFingerprint(8), 1s } } },
         QuotaReport { { { AccountId(7), 3300, 47000, true } }, true, true },
@@ -274,7 +275,7 @@
 {
     Announcement a { "i-1", "app", "10.0.0.1:80", "z", "v1", 4, ReplicaState::Ready, UpstreamKind::Decode, 5ms, 9 };
     return { encodeValue(std::vector { a, a, a }), encodeValue(std::vector<Announcement> {}),
-        disk::sealRecord(encodeValue(std::vector { a })) };
+        disk::encodeRecord(encodeValue(std::vector { a })) };
 }
 
 /// Bytes that a controller writes itself, read back from its folder.
--- a/test/performance/DecideBench.cpp
+++ b/test/performance/DecideBench.cpp
@@ -35,7 +35,7 @@
     hello.id = PeerId(id * 0x9e3779b97f4a7c15ULL | 1);
     hello.name = "replica-" + std::to_string(id);
     hello.zone = "zone";
-    table.linked(hello.id);
+    table.onLinkUp(hello.id);
     LoadReport load;
     load.slots = 20;
     load.occupied = id % 20;
@@ -62,13 +62,13 @@
         for (std::size_t k = 0; k < blocks.size(); ++k)
             blocks[k] = static_cast<std::uint64_t>(i % 1000) * 1000 + k + 1;
         auto start = std::chrono::steady_clock::now();
-        auto prefill = placement.choosePrefill("lugeja", { 2048, blocks, Priority::Normal }, {}, now);
-        auto decode = placement.chooseSlot(
+        auto prefill = placement.choosePrefillReplica("lugeja", { 2048, blocks, Priority::Normal }, {}, now);
+        auto decode = placement.chooseReplica(
             "lugeja", UpstreamKind::Decode, { Priority::Normal, prefill ? prefill->end : Duration(), 2048 }, {}, now);
         micros.push_back(std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - start).count());
         if (!decode)
             std::abort();
-        placement.prefixIndex().learn(blocks, prefill->replica);
+        placement.prefixIndex().recordBlocks(blocks, prefill->replica);
     }
     auto perDecision = static_cast<double>(allocations - allocated) / decisions;
     std::sort(micros.begin(), micros.end());
--- a/test/performance/QuotaBench.cpp
+++ b/test/performance/QuotaBench.cpp
@@ -2,7 +2,7 @@
 
 #include "message/Codec.h"
 #include "request/fleet/AccountQuotas.h"
-#include "request/fleet/QuotaExchange.h"
+#include "request/fleet/QuotaAggregator.h"
 
 #include <chrono>
 #include <cstdio>
@@ -36,7 +36,7 @@
                 auto name = "gateway-" + std::to_string(i);
                 m_gateways.emplace_back(QuotaSettings { 8s, 0.1, 190'000 }, name);
                 m_gateways.back().setRules(m_rules, m_now);
-                m_exchange.linked(PeerId(100 + i), name);
+                m_exchange.connected(PeerId(100 + i), name);
             }
         }
 
@@ -45,7 +45,7 @@
             for (auto end = m_now + played; m_now < end; m_now += step) {
                 for (std::size_t i = 0; i < m_gateways.size(); ++i)
                     playGateway(i);
-                if (m_now.time_since_epoch() % quota::tellEvery == Duration::zero())
+                if (m_now.time_since_epoch() % quota::broadcastInterval == Duration::zero())
                     tell();
             }
         }
@@ -65,7 +65,7 @@
             auto& gateway = m_gateways[i];
             if (m_now.time_since_epoch() % 1s == Duration::zero()) {
                 gateway.setGateways(static_cast<std::uint32_t>(m_gateways.size()));
-                gateway.heard(controller, m_now);
+                gateway.noteContact(controller, m_now);
             }
             if (std::uniform_real_distribution<>()(m_random) < requestsPerSecond * toSeconds(step))
                 admit(gateway);
@@ -74,7 +74,7 @@
             m_reportMicros += microsSince(from);
             if (!report)
                 return;
-            QuotaReport message { report->uses, report->teller == controller, report->asksForAll, report->told };
+            QuotaReport message { report->uses, report->totalsSource == controller, report->asksForAll, report->told };
             m_reported += static_cast<double>(encode(message).size());
             from = std::chrono::steady_clock::now();
             m_exchange.take(PeerId(100 + i), message, m_now);
@@ -104,7 +104,7 @@
         Instant m_now { std::chrono::seconds(1000) };
         std::map<std::string, QuotaRule> m_rules;
         std::deque<AccountQuotas> m_gateways;
-        QuotaExchange m_exchange;
+        QuotaAggregator m_exchange;
         std::mt19937 m_random { 1 };
         double m_admits = 0;
         double m_admitMicros = 0;
--- a/test/support/ForwardBench.h
+++ b/test/support/ForwardBench.h
@@ -56,7 +56,7 @@
 
     Bench& serve()
     {
-        post(TakeDocument { document(1), true });
+        post(DocumentReceived { document(1), true });
         post(RegistryHeartbeat { {}, 1 });
         return *this;
     }
@@ -74,7 +74,7 @@
         announcement.state = state;
         announcement.sequence = sequence;
         announcement.start = start;
-        post(Announced { announcement, Duration::zero() });
+        post(RelayedAnnouncement { announcement, Duration::zero() });
         return *this;
     }
 
@@ -91,28 +91,28 @@
         return std::all_of(loads.begin(), loads.end(), [this](const auto& item) { return m_logic.replicas().registry().find(item.first); });
     }
 
-    RequestId ask(
-        const std::string& path, std::optional<Duration> patience = {}, RequestFingerprint fingerprint = {}, const std::string& key = "")
+    RequestId submit(const std::string& path, std::optional<Duration> callerTimeout = {}, RequestFingerprint fingerprint = {},
+        const std::string& key = "")
     {
         RequestId id { PeerId(1), ++m_sequence };
-        Ask ask;
+        RequestMetadata submit;
         if (!key.empty())
-            ask.key = SecretDigest::of(key);
-        ask.host = "Desk.example:8080";
-        ask.path = path;
-        ask.patience = patience;
-        ask.fingerprint = fingerprint;
-        ask.promptTokens = path.starts_with("/stream") || path.starts_with("/resumable") ? 5000 : 0;
-        ask.outputTokens = ask.promptTokens ? 800 : 0;
-        ask.statesTokens = ask.promptTokens;
-        post(Submit { id, ask });
+            submit.key = SecretDigest::of(key);
+        submit.host = "Desk.example:8080";
+        submit.path = path;
+        submit.callerTimeout = callerTimeout;
+        submit.fingerprint = fingerprint;
+        submit.promptTokens = path.starts_with("/stream") || path.starts_with("/resumable") ? 5000 : 0;
+        submit.outputTokens = submit.promptTokens ? 800 : 0;
+        submit.hasTokenCounts = submit.promptTokens;
+        post(Submit { id, submit });
         return id;
     }
 
     void post(const Event& event)
     {
         m_last = m_logic.step(event, now);
-        m_finished += did<Finished>().size();
+        m_finished += effects<Finished>().size();
     }
     [[nodiscard]] std::size_t finished() const { return m_finished; }
     void wait(Duration d)
@@ -121,7 +121,7 @@
         post(Tick {});
     }
 
-    template <typename T> std::vector<T> did() const
+    template <typename T> std::vector<T> effects() const
     {
         std::vector<T> found;
         for (const auto& effect : m_last) {
@@ -132,17 +132,17 @@
     }
     template <typename T> T only() const
     {
-        auto found = did<T>();
+        auto found = effects<T>();
         REQUIRE(found.size() == 1);
         return found.front();
     }
 
     void answer(const Send& send, int status, bool wasNotRun = false, bool isOther = false, bool isGenuine = true)
     {
-        AnswerFacts facts;
+        AnswerMetadata facts;
         facts.status = status;
         facts.wasNotRun = wasNotRun || isOther;
-        facts.isOtherReplica = isOther;
+        facts.isMisdirected = isOther;
         facts.isGenuine = isGenuine;
         post(AnswerHead { send.id, send.attempt, facts, { { "X", "y" } } });
         post(AnswerBody { send.id, send.attempt, "body" });
@@ -151,7 +151,7 @@
 
     void streamHead(const Send& send)
     {
-        AnswerFacts facts;
+        AnswerMetadata facts;
         facts.status = 200;
         facts.isStream = true;
         post(AnswerHead { send.id, send.attempt, facts, {} });
@@ -160,11 +160,11 @@
     /// Takes a request to an engine through place and prefill. \returns its run.
     Send run(const RequestId&)
     {
-        auto take = only<TakePlace>();
-        post(PlaceTaken { take.id, take.attempt, "place-1" });
+        auto take = only<ReserveAtReplica>();
+        post(ReservationGranted { take.id, take.attempt, "place-1" });
         auto prefill = only<Send>();
         REQUIRE(prefill.isPrefill);
-        post(PromptRead { prefill.id, prefill.attempt, "kv-1" });
+        post(PrefillFinished { prefill.id, prefill.attempt, "kv-1" });
         return only<Send>();
     }
 
--- a/test/support/QuotaFleet.h
+++ b/test/support/QuotaFleet.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "request/fleet/AccountQuotas.h"
-#include "request/fleet/QuotaExchange.h"
+#include "request/fleet/QuotaAggregator.h"
 
 #include <algorithm>
 #include <deque>
@@ -23,7 +23,7 @@
 public:
     explicit Fleet(int gateways, int controllers = 3)
         : m_controllers(controllers)
-        , m_cut(controllers)
+        , m_isUnreachable(controllers)
     {
         for (int i = 0; i < gateways; ++i) {
             m_gateways.emplace_back();
@@ -35,20 +35,20 @@
     Instant now = start;
 
     /// One request at a gateway. \returns whether it was admitted.
-    bool ask(std::size_t gateway, double amount = 3300)
+    bool request(std::size_t gateway, double amount = 3300)
     {
         auto& one = m_gateways[gateway];
         if (one.isFrozen)
             return true;
-        m_last = one.quotas->admit("desk", amount, now);
-        if (m_last.isAdmitted)
+        m_lastVerdict = one.quotas->admit("desk", amount, now);
+        if (m_lastVerdict.isAdmitted)
             m_runs.emplace_back(now, amount);
         else
             ++refused;
-        return m_last.isAdmitted;
+        return m_lastVerdict.isAdmitted;
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         for (auto end = now + time; now < end; now += step)
             exchange();
@@ -58,9 +58,9 @@
     void load(double perSecond, Duration time, const std::function<std::size_t(std::mt19937&)>& pick)
     {
         for (auto end = now + time; now < end; now += step) {
-            m_owed += perSecond * toSeconds(step);
-            for (; m_owed >= 3300; m_owed -= 3300)
-                ask(pick(m_random));
+            m_dueAmount += perSecond * toSeconds(step);
+            for (; m_dueAmount >= 3300; m_dueAmount -= 3300)
+                request(pick(m_random));
             exchange();
         }
     }
@@ -71,28 +71,28 @@
     }
 
     /// Gateways from `first` on hear only the last controllers from `firstController` on, and the others only those before.
-    void cut(std::size_t first, std::size_t firstController)
+    void partition(std::size_t first, std::size_t firstController)
     {
         for (std::size_t c = 0; c < m_controllers.size(); ++c) {
-            m_cut[c].clear();
+            m_isUnreachable[c].clear();
             for (std::size_t g = 0; g < m_gateways.size(); ++g)
-                m_cut[c].push_back((g >= first) != (c >= firstController));
+                m_isUnreachable[c].push_back((g >= first) != (c >= firstController));
         }
     }
-    void heal() { m_cut.assign(m_controllers.size(), {}); }
+    void heal() { m_isUnreachable.assign(m_controllers.size(), {}); }
     void freeze(std::size_t gateway, bool isFrozen) { m_gateways[gateway].isFrozen = isFrozen; }
     void restartGateway(std::size_t gateway)
     {
         for (auto& controller : m_controllers)
-            controller.gone(m_gateways[gateway].id, now);
+            controller.disconnected(m_gateways[gateway].id, now);
         begin(m_gateways[gateway], static_cast<int>(gateway));
     }
     void restartController(std::size_t c)
     {
         m_controllers[c] = {};
         for (auto& gateway : m_gateways) {
-            gateway.quotas->gone(PeerId(500 + c));
-            gateway.linked[c] = false;
+            gateway.quotas->disconnected(PeerId(500 + c));
+            gateway.connected[c] = false;
         }
     }
     void setRule(const QuotaRule& changed)
@@ -103,18 +103,18 @@
     }
 
     /// The most that was admitted in a window.
-    [[nodiscard]] double mostInWindow() const
+    [[nodiscard]] double maxInWindow() const
     {
         double sum = 0;
-        double most = 0;
+        double maximum = 0;
         auto from = m_runs.begin();
         for (const auto& [at, amount] : m_runs) {
             sum += amount;
             for (; at - from->first > tolerance.window; ++from)
                 sum -= from->second;
-            most = std::max(most, sum);
+            maximum = std::max(maximum, sum);
         }
-        return most;
+        return maximum;
     }
     [[nodiscard]] double bound() const
     {
@@ -128,7 +128,7 @@
         return sum;
     }
     void forgetRuns() { m_runs.clear(); }
-    [[nodiscard]] const AccountQuota::Verdict& last() const { return m_last; }
+    [[nodiscard]] const AccountQuota::Verdict& lastVerdict() const { return m_lastVerdict; }
     std::size_t messages = 0;
     std::size_t refused = 0;
 
@@ -136,7 +136,7 @@
     struct Gateway {
         PeerId id;
         std::unique_ptr<AccountQuotas> quotas;
-        std::vector<bool> linked;
+        std::vector<bool> connected;
         bool isFrozen = false;
     };
 
@@ -145,10 +145,10 @@
         gateway.id = PeerId(++m_lastId);
         gateway.quotas = std::make_unique<AccountQuotas>(tolerance, "gateway-" + std::to_string(i));
         gateway.quotas->setRules({ { "desk", m_rule } }, now);
-        gateway.linked.assign(m_controllers.size(), false);
+        gateway.connected.assign(m_controllers.size(), false);
     }
 
-    [[nodiscard]] bool reaches(std::size_t g, std::size_t c) const { return m_cut[c].empty() || !m_cut[c][g]; }
+    [[nodiscard]] bool reaches(std::size_t g, std::size_t c) const { return m_isUnreachable[c].empty() || !m_isUnreachable[c][g]; }
 
     /// Links come and go, reports and totals pass, and heartbeats come once a second.
     void exchange()
@@ -156,21 +156,21 @@
         for (std::size_t g = 0; g < m_gateways.size(); ++g) {
             auto& gateway = m_gateways[g];
             for (std::size_t c = 0; c < m_controllers.size(); ++c) {
-                if (!gateway.linked[c] && reaches(g, c)) {
-                    m_controllers[c].linked(gateway.id, "gateway-" + std::to_string(g));
-                    gateway.linked[c] = true;
-                    hear(gateway, c);
+                if (!gateway.connected[c] && reaches(g, c)) {
+                    m_controllers[c].connected(gateway.id, "gateway-" + std::to_string(g));
+                    gateway.connected[c] = true;
+                    deliverHeartbeat(gateway, c);
                 }
                 bool isHeartbeat = (now - start) % 1s == Duration::zero();
                 if (isHeartbeat && reaches(g, c))
-                    hear(gateway, c);
+                    deliverHeartbeat(gateway, c);
             }
             if (gateway.isFrozen)
                 continue;
             if (auto report = gateway.quotas->report(now))
-                send(g, *report);
+                deliverReport(g, *report);
         }
-        if ((now - start) % quota::tellEvery != Duration::zero())
+        if ((now - start) % quota::broadcastInterval != Duration::zero())
             return;
         for (std::size_t c = 0; c < m_controllers.size(); ++c) {
             for (const auto& [peer, totals] : m_controllers[c].tell(now))
@@ -178,21 +178,22 @@
         }
     }
 
-    void hear(Gateway& gateway, std::size_t c)
+    void deliverHeartbeat(Gateway& gateway, std::size_t c)
     {
         if (gateway.isFrozen)
             return;
         gateway.quotas->setGateways(static_cast<std::uint32_t>(m_gateways.size()));
-        gateway.quotas->heard(PeerId(500 + c), now);
+        gateway.quotas->noteContact(PeerId(500 + c), now);
     }
 
-    void send(std::size_t g, const AccountQuotas::Report& report)
+    void deliverReport(std::size_t g, const AccountQuotas::Report& report)
     {
         for (std::size_t c = 0; c < m_controllers.size(); ++c) {
             if (!reaches(g, c))
                 continue;
             ++messages;
-            m_controllers[c].take(m_gateways[g].id, { report.uses, report.teller == PeerId(500 + c), report.asksForAll, report.told }, now);
+            m_controllers[c].take(
+                m_gateways[g].id, { report.uses, report.totalsSource == PeerId(500 + c), report.asksForAll, report.told }, now);
         }
     }
 
@@ -209,13 +210,13 @@
 
     QuotaRule m_rule = rule;
     std::deque<Gateway> m_gateways;
-    std::vector<QuotaExchange> m_controllers;
-    std::vector<std::vector<bool>> m_cut; ///< By controller and gateway; empty: none.
+    std::vector<QuotaAggregator> m_controllers;
+    std::vector<std::vector<bool>> m_isUnreachable; ///< By controller and gateway; empty: none.
     std::vector<std::pair<Instant, double>> m_runs;
-    AccountQuota::Verdict m_last;
+    AccountQuota::Verdict m_lastVerdict;
     std::uint64_t m_lastId = 0;
     std::mt19937 m_random { 7 };
-    double m_owed = 0;
+    double m_dueAmount = 0;
 };
 
 } // namespace wrenhinge::quotas
--- a/test/support/World.cpp
+++ b/test/support/World.cpp
@@ -92,15 +92,15 @@
 
 void World::startSidecar(Node& node)
 {
-    SidecarProfile profile;
-    profile.self = node.id;
-    profile.service = node.kind == UpstreamKind::Plain ? m_plan.plainService : m_plan.generationService;
-    profile.replica = node.name;
-    profile.kind = node.kind;
-    profile.slots = node.kind == UpstreamKind::Decode ? m_plan.decodeSlots : node.kind == UpstreamKind::Plain ? m_plan.plainSlots : 1;
-    profile.resultLife = m_plan.engine.resultLife;
-    profile.safeguards = m_plan.safeguards;
-    node.sidecar = std::make_unique<SidecarLogic>(profile);
+    SidecarOptions options;
+    options.self = node.id;
+    options.service = node.kind == UpstreamKind::Plain ? m_plan.plainService : m_plan.generationService;
+    options.replica = node.name;
+    options.kind = node.kind;
+    options.slots = node.kind == UpstreamKind::Decode ? m_plan.decodeSlots : node.kind == UpstreamKind::Plain ? m_plan.plainSlots : 1;
+    options.resultLife = m_plan.engine.resultLife;
+    options.safeguards = m_plan.safeguards;
+    node.sidecar = std::make_unique<SidecarLogic>(options);
 }
 
 void World::startController(Node& node)
@@ -322,7 +322,7 @@
             o.code = error->error.code;
             o.retryAfter = error->error.retryAfter;
         });
-    } else if (auto* broken = std::get_if<gateway::AnswerBroken>(&effect)) {
+    } else if (auto* broken = std::get_if<gateway::AnswerAborted>(&effect)) {
         answered(
             broken->request, [&](CallerOutcome& o) { ++o.answers, o.ended = time.now(), o.code = broken->error.code, o.isBroken = true; });
     } else if (auto* finished = std::get_if<gateway::Finished>(&effect); finished && onFinished) {
@@ -471,7 +471,7 @@
             auto it = node.links.find(from);
             if (it == node.links.end() || it->second != item.link)
                 return;
-            stepPeerEvent(node, FromPeer { item.from, item.message });
+            stepPeerEvent(node, PeerMessage { item.from, item.message });
         });
     }
 }
--- a/test/support/World.h
+++ b/test/support/World.h
@@ -152,7 +152,7 @@
     void addNode(const std::string& name, Role, int number, UpstreamKind = UpstreamKind::Plain);
     [[nodiscard]] Hello helloOf(const Node&) const;
     void deliver(const std::string& node, std::function<void(Node&)> action);
-    /// A PeerUp, PeerDown or FromPeer, which every role hears alike.
+    /// A PeerUp, PeerDown or PeerMessage, which every role hears alike.
     template <typename Event> void stepPeerEvent(Node&, const Event&);
     void stepGateway(Node&, const gateway::Event&);
     void stepSidecar(Node&, const sidecar::Event&);
