--- a/src/request/fleet/AccountQuota.cpp
+++ b/src/request/fleet/AccountQuota.cpp
@@ -139,7 +139,7 @@
     fill(now);
     // fill() has already deducted the assumed usage of the others since the last broadcast, except while this gateway was isolated.
     auto forecast = m_isBusy ? m_othersPerSecond * toSeconds(std::min(now - m_lastTotalAt, totalTimeout)) : 0;
-    m_level += forecast - total.othersUse;
+    m_level += forecast - total.othersUsage;
     m_othersPerSecond = total.othersPerSecond;
     m_reservedPerSecond = total.reservedPerSecond;
     m_isBusy = total.isBusy;
--- a/src/request/fleet/AccountQuotas.cpp
+++ b/src/request/fleet/AccountQuotas.cpp
@@ -71,7 +71,7 @@
         return;
     m_gatewaysSeen = totals.gateways;
     m_gatewaysSeenAt = now;
-    if (totals.isAll) {
+    if (totals.isComplete) {
         m_knowsBusyAccounts = true;
         std::set<AccountId> received;
         for (const auto& total : totals.totals)
@@ -126,9 +126,9 @@
 }
 
 /// Tells controllers that have just started how many gateways there were, so that they reserve shares for those that don't connect.
-GatewaysSeen AccountQuotas::gatewaysSeen(Instant now) const
+GatewayCounts AccountQuotas::gatewaysSeen(Instant now) const
 {
-    auto seen = now - m_gatewaysSeenAt <= gatewaysSeenLifetime ? m_gatewaysSeen : GatewaysSeen();
+    auto seen = now - m_gatewaysSeenAt <= gatewaysSeenLifetime ? m_gatewaysSeen : GatewayCounts();
     if (m_gateways != SharedRetryBudget::assumedGateways)
         seen.all = std::max(seen.all, m_gateways);
     return seen;
--- a/src/request/forward/ForwardAccounts.cpp
+++ b/src/request/forward/ForwardAccounts.cpp
@@ -81,7 +81,7 @@
     const auto& quota = flow.account->quota;
     if (quota.unit == QuotaRule::Unit::Requests)
         return 1;
-    return flow.ask.statesTokens ? flow.ask.promptTokens + flow.ask.outputTokens : quota.plainTokens;
+    return flow.ask.hasTokenCounts ? flow.ask.promptTokens + flow.ask.outputTokens : quota.defaultTokens;
 }
 
 /// Refuses a request beyond its account's quota, before a replica or what others wait for is touched. \returns false if it did.
@@ -115,12 +115,12 @@
         m_quotas.refund(flow.account->name, charged, now);
 }
 
-void ForwardLogic::on(const QuotaTold& event, Instant now) { m_quotas.take(event.controller, event.totals, now); }
+void ForwardLogic::on(const QuotaTotalsReceived& event, Instant now) { m_quotas.take(event.controller, event.totals, now); }
 
 void ForwardLogic::reportUse(Instant now)
 {
     if (auto report = m_quotas.report(now))
-        m_effects.push_back(ReportUse { std::move(*report) });
+        m_effects.push_back(ReportQuotaUsage { std::move(*report) });
 }
 
 } // namespace wrenhinge
