--- a/src/request/fleet/CrashExchange.cpp
+++ b/src/request/fleet/CrashExchange.cpp
@@ -14,11 +14,11 @@
     for (const auto& crash : updates.controllers.crashes)
         requests.insert(crash.request);
     for (const auto& request : requests) {
-        auto statusOf = m_tracker.statusOf(request, now);
-        // All its crashes: gateways know only those that they saw themselves, and pass over what they know.
-        if (statusOf >= Status::Watched)
+        auto status = m_tracker.statusOf(request, now);
+        // All crashes of the request, not just the new ones: gateways know only those that they observed themselves, and ignore duplicates.
+        if (status >= Status::Watched)
             m_tracker.describe(request, updates.gateways, now);
-        if (statusOf == Status::Refused)
+        if (status == Status::Refused)
             updates.refused.push_back(request);
     }
     updates.gateways.served = updates.controllers.served;
--- a/test/correctness/QuotaTest.cpp
+++ b/test/correctness/QuotaTest.cpp
@@ -1,5 +1,5 @@
 /** \file
- * One limit that all gateways keep together: what is admitted in any window, and who is refused.
+ * A limit that all gateways enforce together: how much is admitted in any window, and which requests are refused.
  */
 #include "QuotaFleet.h"
 #include "message/Codec.h"
@@ -10,26 +10,26 @@
 using namespace wrenhinge;
 using namespace wrenhinge::quotas;
 
-TEST_CASE("below its limit an account is refused nowhere, through however few gateways its callers come")
+TEST_CASE("no gateway refuses an account that is below its limit, however few gateways its callers use")
 {
     Fleet fleet(33);
     fleet.advance(3s);
-    SUBCASE("through one")
+    SUBCASE("one gateway")
     {
         fleet.load(rule.perSecond * 0.9, 20s, [](std::mt19937&) { return 5; });
     }
-    SUBCASE("through two, in bursts")
+    SUBCASE("two gateways, in bursts")
     {
         for (int i = 0; i < 10; ++i) {
             fleet.load(rule.perSecond * 1.4, 1s, [](std::mt19937& random) { return random() % 2; });
             fleet.load(rule.perSecond * 0.2, 1s, [](std::mt19937& random) { return random() % 2; });
         }
     }
-    SUBCASE("through all") { fleet.load(rule.perSecond * 0.95, 20s); }
+    SUBCASE("all gateways") { fleet.load(rule.perSecond * 0.95, 20s); }
     CHECK(fleet.refused == 0);
 }
 
-TEST_CASE("an account that sends many times its limit has the limit run, in every window, over all gateways")
+TEST_CASE("an account that sends many times its limit is admitted up to the limit, in every window, over all gateways")
 {
     Fleet fleet(33);
     fleet.advance(3s);
@@ -37,11 +37,11 @@
     auto from = fleet.now;
     fleet.load(rule.perSecond * 6, 20s);
     CHECK(fleet.maxInWindow() <= fleet.bound());
-    // What it is allowed it gets all the same.
+    // The account still receives what the limit allows.
     CHECK(fleet.admittedSince(from) >= rule.perSecond * 20 * 0.95);
 }
 
-TEST_CASE("an account far below its limit costs little of what a gateway may spend on control")
+TEST_CASE("an account far below its limit uses little of a gateway's bandwidth for control messages")
 {
     constexpr double bytesPerSecond = 3000;
     Fleet fleet(33, 6);
@@ -52,18 +52,18 @@
     CHECK(static_cast<double>(fleet.messages * bytes) / 33 / 10 <= bytesPerSecond / 2);
 }
 
-TEST_CASE("both sides of a cut go on, and together keep to the limit")
+TEST_CASE("both sides of a network partition continue, and together stay within the limit")
 {
     Fleet fleet(33, 5);
     fleet.advance(3s);
     fleet.load(rule.perSecond * 0.55, 6s);
     fleet.partition(12, 2);
-    SUBCASE("below the limit nobody is refused")
+    SUBCASE("below the limit nothing is refused")
     {
         fleet.load(rule.perSecond * 0.55, 10s);
         CHECK(fleet.refused == 0);
     }
-    SUBCASE("above it both sides together have the limit run")
+    SUBCASE("above it both sides together admit no more than the limit")
     {
         fleet.load(rule.perSecond * 6, 12s);
         CHECK(fleet.maxInWindow() <= fleet.bound());
@@ -73,7 +73,7 @@
     CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("gateways that hear no controller keep to the limit together")
+TEST_CASE("gateways without contact to any controller together stay within the limit")
 {
     Fleet fleet(33);
     fleet.advance(3s);
@@ -84,7 +84,7 @@
     CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("what gateways and controllers forget by a restart is not admitted again")
+TEST_CASE("usage that gateways and controllers lose by a restart is not admitted again")
 {
     Fleet fleet(33);
     fleet.advance(3s);
@@ -120,7 +120,7 @@
     CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("an account that nobody uses is shared between the sides of a cut, and each sets aside the other's part")
+TEST_CASE("the limit of an idle account is divided between the sides of a partition, and each reserves the other's share")
 {
     Fleet fleet(11, 3);
     fleet.advance(3s);
@@ -130,31 +130,31 @@
     CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("gateways that are cut off one after the other share what those before them left")
+TEST_CASE("gateways that are isolated one after the other divide what is not reserved for those before them")
 {
     Fleet fleet(10, 1);
     fleet.advance(3s);
-    for (std::size_t noteContact = 10; noteContact > 0; --noteContact) {
+    for (std::size_t reachable = 10; reachable > 0; --reachable) {
         fleet.load(rule.perSecond * 2, 6s);
-        fleet.partition(noteContact - 1, 1);
+        fleet.partition(reachable - 1, 1);
     }
     fleet.load(rule.perSecond * 6, 12s);
     CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("a controller that starts during a cut sets aside what its former run did")
+TEST_CASE("a controller that starts during a partition reserves what its former run reserved")
 {
     Fleet fleet(14, 2);
     fleet.advance(3s);
     fleet.load(rule.perSecond * 3, 6s);
     fleet.partition(7, 1);
-    SUBCASE("the cut was seen before")
+    SUBCASE("the former run had detected the partition")
     {
         fleet.load(rule.perSecond * 6, 3s);
         fleet.restartController(0);
         fleet.restartController(1);
     }
-    SUBCASE("it was not")
+    SUBCASE("the former run had not detected it")
     {
         fleet.load(rule.perSecond * 6, 300ms);
         fleet.restartController(0);
@@ -164,7 +164,7 @@
     CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("a gateway that comes back has its part no longer set aside by a controller that started meanwhile")
+TEST_CASE("a controller that started meanwhile releases the reservation of a gateway that reconnects")
 {
     Fleet fleet(14, 2);
     fleet.advance(3s);
@@ -181,20 +181,20 @@
     CHECK(fleet.refused == 0);
 }
 
-TEST_CASE("gateways that are cut off soon after a controller's start take no larger parts than before")
+TEST_CASE("gateways that are isolated soon after a controller's start take no larger shares than before")
 {
     Fleet fleet(19, 1);
     fleet.advance(3s);
     fleet.load(rule.perSecond * 0.95, 5s);
     fleet.restartController(0);
-    SUBCASE("two seconds after") { fleet.load(rule.perSecond * 0.95, 2s); }
-    SUBCASE("at once") { fleet.load(rule.perSecond * 0.95, 300ms); }
+    SUBCASE("two seconds after the start") { fleet.load(rule.perSecond * 0.95, 2s); }
+    SUBCASE("immediately after the start") { fleet.load(rule.perSecond * 0.95, 300ms); }
     fleet.partition(0, 1);
     fleet.load(rule.perSecond * 6, 12s);
     CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("gateways that wake from a freeze go by nothing that they knew before")
+TEST_CASE("gateways that resume after a freeze discard what they knew before")
 {
     Fleet fleet(33);
     fleet.advance(3s);
@@ -208,7 +208,7 @@
     CHECK(fleet.maxInWindow() <= fleet.bound());
 }
 
-TEST_CASE("a lower limit holds a window after it came, and a higher one lets more through at once")
+TEST_CASE("a lower limit is enforced one window after it is set, and a higher one admits more immediately")
 {
     Fleet fleet(33);
     fleet.advance(3s);
@@ -236,7 +236,7 @@
 
 constexpr Instant later = start + 3s;
 
-/// One gateway that hears a controller, and no others.
+/// One gateway, in contact with one controller, and with no other gateways.
 struct SingleGateway {
     explicit SingleGateway(const QuotaSettings& settings = tolerance, const QuotaRule& limit = rule)
         : quotas(settings, "gateway-1")
@@ -258,7 +258,7 @@
 
 } // namespace
 
-TEST_CASE("who is refused is told when the account may ask again, later the more are told so")
+TEST_CASE("a refused request is told when to retry, and each further one is told a later time")
 {
     SingleGateway gateway;
     auto verdict = gateway.quotas.admit("desk", 3300, later);
@@ -273,7 +273,7 @@
     CHECK(gateway.admit(3300, later + second));
 }
 
-TEST_CASE("what has not run is given back once, to all")
+TEST_CASE("an admitted amount that has not run is refunded once, and is not reported to the others")
 {
     SingleGateway gateway;
     auto& quota = gateway.quotas.accounts().at("desk");
@@ -285,7 +285,7 @@
     CHECK(quota.unreported() == 0);
 }
 
-TEST_CASE("a request larger than the bucket is admitted when that is full, and paid for afterwards")
+TEST_CASE("a request larger than the bucket is admitted when the bucket is full, and later requests wait for the debt")
 {
     SingleGateway gateway({ 8s, 0, 0 }, { QuotaRule::Unit::Tokens, 1000, 500, 200 });
     gateway.receiveTotals(later + 1s);
@@ -297,7 +297,7 @@
     CHECK(gateway.admit(100, later + 6s));
 }
 
-TEST_CASE("another controller's totals hold the same use once more, and are passed over")
+TEST_CASE("totals of another controller contain the same usage again, and are ignored")
 {
     SingleGateway gateway;
     gateway.quotas.noteContact(PeerId(501), later);
@@ -310,7 +310,7 @@
     CHECK(quota.remaining(later) == doctest::Approx(before - 1000));
 }
 
-TEST_CASE("an account that is no longer busy when a gateway changes its controller is not waited for")
+TEST_CASE("a gateway that changes its controller does not wait for totals of an account that is no longer busy")
 {
     SingleGateway gateway;
     QuotaTotals busy { { { accountId("desk"), 1000, 5000, 0, true } } };
@@ -325,9 +325,9 @@
     CHECK(!gateway.quotas.accounts().at("desk").usage(later + 1s).isIsolated);
 }
 
-TEST_CASE("whatever fails, no window holds more than is allowed")
+TEST_CASE("under any failures, no window admits more than is allowed")
 {
-    CHECK(rc::check("one failure after the other, under any load", [] {
+    CHECK(rc::check("failures one after the other, under any load", [] {
         auto gateways = *rc::gen::inRange(2, 13);
         auto controllers = *rc::gen::inRange(1, 5);
         Fleet fleet(gateways, controllers);
--- a/test/support/QuotaFleet.h
+++ b/test/support/QuotaFleet.h
@@ -1,5 +1,5 @@
 /** \file
- * Gateways and controllers that keep one limit together, on virtual time, with failures to play.
+ * A simulation of gateways and controllers that enforce one limit together, on virtual time, with failures to inject.
  */
 #pragma once
 
@@ -18,7 +18,7 @@
 inline constexpr QuotaSettings tolerance { 8s, 0.1, 190'000 };
 inline const QuotaRule rule { QuotaRule::Unit::Tokens, 47'000, 47'000, 200 };
 
-/// Gateways and controllers on virtual time, a step at a time, with one account.
+/// Simulates gateways and controllers with one account, in time steps.
 class Fleet {
 public:
     explicit Fleet(int gateways, int controllers = 3)
@@ -27,14 +27,14 @@
     {
         for (int i = 0; i < gateways; ++i) {
             m_gateways.emplace_back();
-            begin(m_gateways.back(), i);
+            startGateway(m_gateways.back(), i);
         }
     }
 
     static constexpr Duration step = 10ms;
     Instant now = start;
 
-    /// One request at a gateway. \returns whether it was admitted.
+    /// Sends one request to a gateway. \returns whether it was admitted; true without a request if the gateway is frozen.
     bool request(std::size_t gateway, double amount = 3300)
     {
         auto& one = m_gateways[gateway];
@@ -54,7 +54,7 @@
             exchange();
     }
 
-    /// Calls at a rate of so many tokens a second, spread over the gateways by a share of each.
+    /// Sends requests at a rate of `perSecond` tokens to the gateways that `pick` chooses.
     void load(double perSecond, Duration time, const std::function<std::size_t(std::mt19937&)>& pick)
     {
         for (auto end = now + time; now < end; now += step) {
@@ -70,7 +70,8 @@
         load(perSecond, time, [n](std::mt19937& random) { return random() % n; });
     }
 
-    /// Gateways from `first` on hear only the last controllers from `firstController` on, and the others only those before.
+    /// Partitions the network: gateways from `first` on reach only the controllers from `firstController` on, and the other gateways only
+    /// the controllers before.
     void partition(std::size_t first, std::size_t firstController)
     {
         for (std::size_t c = 0; c < m_controllers.size(); ++c) {
@@ -85,7 +86,7 @@
     {
         for (auto& controller : m_controllers)
             controller.disconnected(m_gateways[gateway].id, now);
-        begin(m_gateways[gateway], static_cast<int>(gateway));
+        startGateway(m_gateways[gateway], static_cast<int>(gateway));
     }
     void restartController(std::size_t c)
     {
@@ -102,7 +103,7 @@
         m_rule = changed;
     }
 
-    /// The most that was admitted in a window.
+    /// The largest amount that was admitted in any window.
     [[nodiscard]] double maxInWindow() const
     {
         double sum = 0;
@@ -140,7 +141,7 @@
         bool isFrozen = false;
     };
 
-    void begin(Gateway& gateway, int i)
+    void startGateway(Gateway& gateway, int i)
     {
         gateway.id = PeerId(++m_lastId);
         gateway.quotas = std::make_unique<AccountQuotas>(tolerance, "gateway-" + std::to_string(i));
@@ -150,7 +151,7 @@
 
     [[nodiscard]] bool reaches(std::size_t g, std::size_t c) const { return m_isUnreachable[c].empty() || !m_isUnreachable[c][g]; }
 
-    /// Links come and go, reports and totals pass, and heartbeats come once a second.
+    /// Simulates one step: connections are made, reports and totals are delivered, and heartbeats once a second.
     void exchange()
     {
         for (std::size_t g = 0; g < m_gateways.size(); ++g) {
@@ -174,7 +175,7 @@
             return;
         for (std::size_t c = 0; c < m_controllers.size(); ++c) {
             for (const auto& [peer, totals] : m_controllers[c].tell(now))
-                tell(c, peer, totals);
+                deliverTotals(c, peer, totals);
         }
     }
 
@@ -197,7 +198,7 @@
         }
     }
 
-    void tell(std::size_t c, PeerId peer, const QuotaTotals& totals)
+    void deliverTotals(std::size_t c, PeerId peer, const QuotaTotals& totals)
     {
         for (std::size_t g = 0; g < m_gateways.size(); ++g) {
             auto& gateway = m_gateways[g];
@@ -211,7 +212,7 @@
     QuotaRule m_rule = rule;
     std::deque<Gateway> m_gateways;
     std::vector<QuotaAggregator> m_controllers;
-    std::vector<std::vector<bool>> m_isUnreachable; ///< By controller and gateway; empty: none.
+    std::vector<std::vector<bool>> m_isUnreachable; ///< By controller and gateway; empty if the controller is not partitioned.
     std::vector<std::pair<Instant, double>> m_runs;
     AccountQuota::Verdict m_lastVerdict;
     std::uint64_t m_lastId = 0;
