--- a/src/request/forward/ForwardEvents.h
+++ b/src/request/forward/ForwardEvents.h
@@ -84,12 +84,12 @@
     RequestId id;
     Attempt attempt;
     bool isGranted = false;
-    std::uint64_t room = 0; ///< Free KV memory of the engine in tokens, after this reservation.
+    std::uint64_t freeTokens = 0; ///< Free KV memory of the engine in tokens, after this reservation.
 };
 /// A sidecar reported how much KV memory of its engine is free.
 struct EngineCapacityReported {
     std::string address; ///< Of the engine.
-    EngineRooms::Room room;
+    EngineRooms::Room capacity;
 };
 /// The connection to a peer was closed.
 struct PeerDisconnected {
--- a/src/request/forward/ForwardLogic.cpp
+++ b/src/request/forward/ForwardLogic.cpp
@@ -96,7 +96,7 @@
 void ForwardLogic::on(const DocumentConfirmed& event, Instant now)
 {
     m_isConfirmed = m_isConfirmed || event.version >= documentVersion();
-    beginAwaitingDocument(now);
+    beginRequestsAwaitingDocument(now);
 }
 
 void ForwardLogic::on(const Announced& event, Instant now)
@@ -243,7 +243,7 @@
     m_awaitingDocument.push_back(flow.id);
 }
 
-void ForwardLogic::beginAwaitingDocument(Instant now)
+void ForwardLogic::beginRequestsAwaitingDocument(Instant now)
 {
     if (m_awaitingDocument.empty() || !isServing(now))
         return;
@@ -332,7 +332,7 @@
 /// capacity has less time left than others on its route, by the Retry-After at least. Timeouts differ at the first attempt too: with a
 /// spread of 15%, 11.9 to 14 s, and every difference taken for a retry, two in three requests were treated as late and refused after
 /// 150 ms while others waited for 0.6 s.
-Duration ForwardLogic::timeSpentElsewhere(const Flow& flow) const
+Duration ForwardLogic::timeSpentBefore(const Flow& flow) const
 {
     if (!flow.request.callerTimeout)
         return Duration::zero();
@@ -512,7 +512,7 @@
 
 void ForwardLogic::on(const Tick&, Instant now)
 {
-    beginAwaitingDocument(now);
+    beginRequestsAwaitingDocument(now);
     fetchRegistry(now);
     refuseExpired(now);
     reportLoad(now);
--- a/src/request/forward/ForwardLogic.h
+++ b/src/request/forward/ForwardLogic.h
@@ -123,7 +123,7 @@
     void selectEnginesIfDue(Instant);
     void updateSidecarLinks(Instant);
     void waitForDocument(Flow&, Instant);
-    void beginAwaitingDocument(Instant);
+    void beginRequestsAwaitingDocument(Instant);
     void begin(Flow&, Instant);
     // Authentication and quotas of client accounts (ForwardAccounts.cpp).
     bool authenticate(Flow&, Instant);
@@ -170,7 +170,7 @@
     void releaseReservation(Flow&);
     std::optional<ReplicaTable::Choice> chooseForRun(Flow&, Instant);
     [[nodiscard]] Instant admitBy(const Flow&) const;
-    [[nodiscard]] Duration timeSpentElsewhere(const Flow&) const;
+    [[nodiscard]] Duration timeSpentBefore(const Flow&) const;
     [[nodiscard]] bool mayOutliveProcess(const Flow&) const;
     void refuseAsDraining(Flow&, Instant);
     bool resend(Flow&, Instant);
--- a/src/request/forward/ForwardReservations.cpp
+++ b/src/request/forward/ForwardReservations.cpp
@@ -49,7 +49,7 @@
 Instant ForwardLogic::admitBy(const Flow& flow) const
 {
     auto prefill = fromSeconds(m_replicas.meanSeconds(flow.service, UpstreamKind::Prefill));
-    return flow.arrivedAt - timeSpentElsewhere(flow) + flow.route->target - overheadAfterPrefill - std::max(prefill, minPrefillEstimate);
+    return flow.arrivedAt - timeSpentBefore(flow) + flow.route->target - overheadAfterPrefill - std::max(prefill, minPrefillEstimate);
 }
 
 void ForwardLogic::admitWaiting(Instant now)
@@ -71,10 +71,10 @@
     flow.stage = Flow::Stage::Reserving;
     startCall(flow, choice, now);
     const auto& engine = engineRule(flow)->engine;
-    if (const auto* room = m_replicas.rooms().find(choice.address)) {
-        flow.reservationSidecar = room->sidecar;
+    if (const auto* capacity = m_replicas.rooms().find(choice.address)) {
+        flow.reservationSidecar = capacity->sidecar;
         m_replicas.rooms().take(choice.address, flow.request.promptTokens);
-        m_effects.push_back(ReserveAtSidecar { room->sidecar, flow.id, flow.attempt, flow.request.promptTokens, expectedTokensOf(flow),
+        m_effects.push_back(ReserveAtSidecar { capacity->sidecar, flow.id, flow.attempt, flow.request.promptTokens, expectedTokensOf(flow),
             flow.request.outputTokens, engine.slots });
     } else {
         auto validFor = std::min(engine.placeHold, maxReservationLifetime);
@@ -88,7 +88,7 @@
     auto* flow = current(event.id, event.attempt);
     if (!flow || flow->stage != Flow::Stage::Reserving)
         return;
-    m_replicas.rooms().setTokens(flow->replicaAddress, event.room);
+    m_replicas.rooms().setTokens(flow->replicaAddress, event.freeTokens);
     if (event.isGranted)
         return on(ReservationGranted { event.id, event.attempt, "" }, now);
     flow->reservationSidecar.reset();
@@ -97,7 +97,7 @@
 
 void ForwardLogic::on(const EngineCapacityReported& event, Instant)
 {
-    bool hasIncreased = m_replicas.rooms().tell(event.address, event.room);
+    bool hasIncreased = m_replicas.rooms().tell(event.address, event.capacity);
     m_shouldAdmit = m_shouldAdmit || (hasIncreased && m_queue.size());
 }
 
@@ -206,10 +206,10 @@
     flow.stage = Flow::Stage::Prefilling;
     flow.triedPrefillReplicas.insert(choice->run);
     startCall(flow, *choice, now);
-    if (const auto* room = m_replicas.rooms().find(choice->address)) {
-        flow.prefillSidecar = room->sidecar;
+    if (const auto* capacity = m_replicas.rooms().find(choice->address)) {
+        flow.prefillSidecar = capacity->sidecar;
         m_replicas.rooms().addPrefill(choice->address, flow.request.promptTokens);
-        m_effects.push_back(NotifyPrefill { room->sidecar, flow.id, flow.request.promptTokens, false });
+        m_effects.push_back(NotifyPrefill { capacity->sidecar, flow.id, flow.request.promptTokens, false });
     }
     Send send { flow.id, flow.attempt, choice->run, choice->address, flow.deadline - now, std::nullopt, true, std::nullopt, {}, {}, {} };
     send.account = accountOf(flow);
--- a/test/correctness/ForwardTest.cpp
+++ b/test/correctness/ForwardTest.cpp
@@ -223,10 +223,10 @@
     {
         auto id = bench.submit("/stream/x");
         auto reserve = bench.only<ReserveAtReplica>();
-        bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
+        bench.post(ReservationGranted { reserve.id, reserve.attempt, "reservation-1" });
         bench.post(CallerDisconnected { id });
         CHECK(bench.effects<CancelCall>().size() == 1);
-        CHECK(bench.only<ReleaseReservation>().reservation.id == "place-1");
+        CHECK(bench.only<ReleaseReservation>().reservation.id == "reservation-1");
     }
     SUBCASE("while the answer streams")
     {
@@ -250,7 +250,7 @@
     CHECK(bench.only<ReserveAtReplica>().tokens == 5000 + 1.3 * 400);
     auto send = bench.run(id);
     CHECK(send.replica.id == "d");
-    CHECK(send.reservation == "place-1");
+    CHECK(send.reservation == "reservation-1");
     REQUIRE(send.source);
     CHECK(send.source->address == "p:80");
     CHECK(send.source->handle == "kv-1");
@@ -262,13 +262,13 @@
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
     bench.submit("/stream/x");
     auto reserve = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "reservation-1" });
     auto prefill = bench.only<Send>();
     bench.post(CallFailed { prefill.id, prefill.attempt, true, "reset" });
     auto send = bench.only<Send>();
     CHECK(send.replica.id == "d");
     CHECK(!send.source);
-    CHECK(send.reservation == "place-1");
+    CHECK(send.reservation == "reservation-1");
 }
 
 TEST_CASE("a prefill that certainly was not accepted is retried at another replica, one that may have been is not")
@@ -281,7 +281,7 @@
         bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill).replica("q", UpstreamKind::Prefill);
         auto id = bench.submit("/stream/x");
         auto reserve = bench.only<ReserveAtReplica>();
-        bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
+        bench.post(ReservationGranted { id, reserve.attempt, "reservation-1" });
         auto first = bench.only<Send>();
         REQUIRE(first.isPrefill);
         if (answer == Answer::StatedNotRun)
@@ -295,7 +295,7 @@
             continue;
         bench.post(CallFailed { id, second.attempt, false, "" });
         CHECK(!bench.only<Send>().isPrefill);
-        CHECK(bench.only<Send>().reservation == "place-1");
+        CHECK(bench.only<Send>().reservation == "reservation-1");
     }
 }
 
@@ -309,7 +309,7 @@
     auto left = [&bench] { return bench.logic().retryBudget(bench.now).at("engine"); };
     auto id = bench.submit("/stream/x");
     auto initialBudget = left();
-    bench.post(ReservationGranted { id, bench.only<ReserveAtReplica>().attempt, "place-1" });
+    bench.post(ReservationGranted { id, bench.only<ReserveAtReplica>().attempt, "reservation-1" });
     bench.post(PrefillFailed { id, bench.only<Send>().attempt, true, true });
     CHECK(left() == initialBudget - 1);
     REQUIRE(bench.only<Send>().isPrefill);
@@ -376,12 +376,12 @@
     bench.serve().replica("d", UpstreamKind::Decode).replica("p", UpstreamKind::Prefill);
     bench.submit("/stream/x");
     auto reserve = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "reservation-1" });
     auto prefill = bench.only<Send>();
     bench.wait(650ms);
     CHECK(bench.only<CancelCall>().attempt == prefill.attempt);
     auto send = bench.only<Send>();
-    CHECK(send.reservation == "place-1");
+    CHECK(send.reservation == "reservation-1");
     CHECK(!send.isPrefill);
 }
 
@@ -397,7 +397,7 @@
     CHECK((bench.only<CancelCall>().attempt == first.attempt));
     auto second = bench.only<ReserveAtReplica>();
     CHECK((second.replica != first.replica));
-    bench.post(ReservationGranted { second.id, second.attempt, "place-1" });
+    bench.post(ReservationGranted { second.id, second.attempt, "reservation-1" });
     CHECK((bench.only<Send>().replica == second.replica));
 }
 
@@ -445,7 +445,7 @@
     bench.serve().replica("d", UpstreamKind::Decode);
     auto id = bench.submit("/stream/x");
     auto reserve = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "reservation-1" });
     auto send = bench.only<Send>();
     bench.streamHead(send);
     bench.post(AnswerBody { id, send.attempt, "id: 1\ndata: a\n\nid: 2\nda" });
@@ -463,7 +463,7 @@
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode);
     auto id = bench.submit("/resumable/x");
     auto reserve = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "reservation-1" });
     auto first = bench.only<Send>();
     bench.streamHead(first);
     bench.post(AnswerBody { id, first.attempt, "id: 1\ndata: a\n\nid: 2\nda" });
@@ -778,7 +778,7 @@
             bench.submit("/stream/x");
             return bench.only<ReserveAtReplica>();
         }();
-        bench.post(ReservationGranted { reserve.id, reserve.attempt, "place" });
+        bench.post(ReservationGranted { reserve.id, reserve.attempt, "reservation" });
         ++chosen[bench.only<Send>().replica.id];
     }
     CHECK(chosen["q"] == 10);
@@ -804,12 +804,12 @@
         CHECK(reserve.replica.isBefore(again.replica));
         bench.post(ReservationGranted { id, reserve.attempt, "late" });
         CHECK(bench.effects<Send>().empty());
-        bench.post(ReservationGranted { id, again.attempt, "place-2" });
+        bench.post(ReservationGranted { id, again.attempt, "reservation-2" });
         CHECK(bench.only<Send>().isPrefill);
     }
     SUBCASE("a granted reservation is neither used nor released at the newer run")
     {
-        bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
+        bench.post(ReservationGranted { id, reserve.attempt, "reservation-1" });
         auto prefill = bench.only<Send>();
         bench.restart("d", UpstreamKind::Decode);
         CHECK(bench.effects<ReleaseReservation>().empty());
@@ -823,7 +823,7 @@
     }
     SUBCASE("a granted reservation is not released when the caller disconnects")
     {
-        bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
+        bench.post(ReservationGranted { id, reserve.attempt, "reservation-1" });
         bench.restart("d", UpstreamKind::Decode);
         bench.post(CallerDisconnected { id });
         CHECK(bench.effects<ReleaseReservation>().empty());
@@ -831,7 +831,7 @@
     }
     SUBCASE("a prefill in progress is retried at another replica, also if a request may run only once, and the late handle is dropped")
     {
-        bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
+        bench.post(ReservationGranted { id, reserve.attempt, "reservation-1" });
         auto prefill = bench.only<Send>();
         auto left = bench.logic().retryBudget(bench.now).at("engine");
         bench.restart(prefill.replica.id, UpstreamKind::Prefill);
@@ -844,7 +844,7 @@
         CHECK(bench.effects<Send>().empty());
         bench.post(PrefillFinished { id, again.attempt, "kv-2" });
         auto run = bench.only<Send>();
-        CHECK(run.reservation == "place-1");
+        CHECK(run.reservation == "reservation-1");
         CHECK(run.source->handle == "kv-2");
         // The request has not run yet, so a refusal may say so.
         bench.answer(run, 503, true);
@@ -902,14 +902,14 @@
     bench.serve().restart("d", UpstreamKind::Decode).restart("p", UpstreamKind::Prefill).restart("q", UpstreamKind::Prefill);
     auto id = bench.submit("/stream/x");
     auto reserve = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { id, reserve.attempt, "place-1" });
+    bench.post(ReservationGranted { id, reserve.attempt, "reservation-1" });
     bool wasPrefillRetried = true;
     while (wasPrefillRetried) {
         auto prefill = bench.only<Send>();
         bench.restart(prefill.replica.id, UpstreamKind::Prefill);
         wasPrefillRetried = bench.only<Send>().isPrefill;
     }
-    CHECK(bench.only<Send>().reservation == "place-1");
+    CHECK(bench.only<Send>().reservation == "reservation-1");
     CHECK(!bench.only<Send>().source);
     CHECK(bench.logic().retryBudget(bench.now).at("engine") < 1);
 }
@@ -1021,7 +1021,7 @@
     for (int i = 0; i < 100; ++i) {
         bench.submit("/stream/x");
         auto reserve = bench.only<ReserveAtReplica>();
-        bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
+        bench.post(ReservationGranted { reserve.id, reserve.attempt, "reservation-1" });
         allowed = std::max(allowed, bench.logic().retryBudget(bench.now)["engine"] + refused);
         while (bench.only<Send>().isPrefill) {
             ++refused;
@@ -1033,12 +1033,12 @@
     CHECK(refused > 0);
     CHECK(refused <= allowed);
     // A replica with a recent announcement still gets prefills.
-    bench.replica("heard", UpstreamKind::Prefill);
+    bench.replica("recent", UpstreamKind::Prefill);
     bench.submit("/stream/x");
     auto reserve = bench.only<ReserveAtReplica>();
-    bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
+    bench.post(ReservationGranted { reserve.id, reserve.attempt, "reservation-1" });
     CHECK(bench.only<Send>().isPrefill);
-    CHECK(bench.only<Send>().replica.id == "heard");
+    CHECK(bench.only<Send>().replica.id == "recent");
 }
 
 // --- Requests that crash replicas -------------------------------------------------------------------------------
@@ -1131,7 +1131,7 @@
     {
         bench.submit("/stream/x", {}, crashing);
         auto reserve = bench.only<ReserveAtReplica>();
-        bench.post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
+        bench.post(ReservationGranted { reserve.id, reserve.attempt, "reservation-1" });
         CHECK(bench.only<Send>().isPrefill);
     }
     bench.post(crashReport(3));
--- a/test/correctness/ReplicaTest.cpp
+++ b/test/correctness/ReplicaTest.cpp
@@ -27,11 +27,11 @@
     return a;
 }
 
-ReplicaTable::Criteria need()
+ReplicaTable::Criteria criteria()
 {
-    ReplicaTable::Criteria need;
-    need.service = "s";
-    return need;
+    ReplicaTable::Criteria criteria;
+    criteria.service = "s";
+    return criteria;
 }
 
 } // namespace
@@ -58,12 +58,12 @@
 {
     ReplicaTable table("z", 1);
     table.registry().announce(announcement("silent", 1), 10s, start);
-    CHECK(table.choose(need(), {}, start)->run.id == "silent");
+    CHECK(table.choose(criteria(), {}, start)->run.id == "silent");
     table.noteControllerContact(start);
-    table.registry().announce(announcement("heard", 1), 0s, start);
+    table.registry().announce(announcement("recent", 1), 0s, start);
     for (int i = 0; i < 20; ++i)
-        CHECK(table.choose(need(), {}, start)->run.id == "heard");
-    CHECK(table.choose(need(), { { "heard", {} } }, start)->run.id == "silent");
+        CHECK(table.choose(criteria(), {}, start)->run.id == "recent");
+    CHECK(table.choose(criteria(), { { "recent", {} } }, start)->run.id == "silent");
 }
 
 TEST_CASE("a replica that fails calls gets fewer of them, but always some")
@@ -75,7 +75,7 @@
     table.registry().announce(announcement("grey", 1), 0s, start);
     std::map<std::string, int> chosen;
     for (int i = 0; i < 400; ++i) {
-        auto id = table.choose(need(), {}, start)->run.id;
+        auto id = table.choose(criteria(), {}, start)->run.id;
         ++chosen[id];
         table.begin({ id, {} }, 0);
         bool fails = id == "grey" && i % 2;
@@ -97,7 +97,7 @@
     table.begin({ "gone", {} }, 0);
     table.end({ "gone", {} }, 0, CallOutcome::Unreachable, 0s, start);
     CHECK(table.loads().at({ "gone", {} }).backoffUntil - start == 2 * first);
-    CHECK(table.choose(need(), {}, start)->run.id == "there");
+    CHECK(table.choose(criteria(), {}, start)->run.id == "there");
 }
 
 TEST_CASE("all gateways together stay within the retry budget in any window")
@@ -174,8 +174,8 @@
     table.noteControllerContact(start);
     table.begin({ "a", {} }, 0);
     table.end({ "a", {} }, 0, CallOutcome::Misdirected, 1ms, start);
-    CHECK(!table.choose(need(), {}, start + 1900ms));
-    CHECK(table.choose(need(), {}, start + 2s));
+    CHECK(!table.choose(criteria(), {}, start + 1900ms));
+    CHECK(table.choose(criteria(), {}, start + 2s));
 }
 
 TEST_CASE("requests are queued by rank, ability to meet the target, and arrival, and expire when they can't meet it")
--- a/test/support/ForwardBench.h
+++ b/test/support/ForwardBench.h
@@ -161,7 +161,7 @@
     Send run(const RequestId&)
     {
         auto reserve = only<ReserveAtReplica>();
-        post(ReservationGranted { reserve.id, reserve.attempt, "place-1" });
+        post(ReservationGranted { reserve.id, reserve.attempt, "reservation-1" });
         auto prefill = only<Send>();
         REQUIRE(prefill.isPrefill);
         post(PrefillFinished { prefill.id, prefill.attempt, "kv-1" });
