--- a/src/request/forward/ForwardAccounts.cpp
+++ b/src/request/forward/ForwardAccounts.cpp
@@ -17,20 +17,20 @@
     auto& request = flow.request;
     if (!flow.table->hasAccounts()) {
         // Without accounts, each key counts as an account of its own.
-        request.fingerprint = ofAccount(request.fingerprint, request.key ? request.key->hex() : "");
+        request.fingerprint = fingerprintForAccount(request.fingerprint, request.key ? request.key->hex() : "");
         return true;
     }
     flow.account = request.key ? flow.table->account(*request.key) : nullptr;
     if (!flow.account && !flow.route->isPublic) {
         // A gateway without contact to a controller may not know a new key yet, and callers don't retry after a 401.
-        bool mayHaveMissedIt = !m_quotas.isHearing(now);
+        bool mayHaveMissedIt = !m_quotas.hasContact(now);
         ++m_refusedKeys;
         auto reason = request.key ? "the key " + request.key->shortHex() + " belongs to no account" : std::string("no key was presented");
         auto code = mayHaveMissedIt && request.key ? ResultCode::ConfigUnavailable : ResultCode::UnknownAccount;
         refuse(flow, code, reason, now);
         return false;
     }
-    request.fingerprint = ofAccount(request.fingerprint, flow.account ? flow.account->name : "");
+    request.fingerprint = fingerprintForAccount(request.fingerprint, flow.account ? flow.account->name : "");
     return true;
 }
 
@@ -81,7 +81,7 @@
     const auto& quota = flow.account->quota;
     if (quota.unit == QuotaRule::Unit::Requests)
         return 1;
-    return flow.request.hasTokenCounts ? flow.request.promptTokens + flow.request.outputTokens : quota.plainTokens;
+    return flow.request.hasTokenCounts ? flow.request.promptTokens + flow.request.outputTokens : quota.defaultTokens;
 }
 
 /// Charges the request to its account's quota, before any shared resource is used. \returns false if it exceeds the quota and was refused.
@@ -96,11 +96,12 @@
         return true;
     }
     auto& quota = m_quotas.accounts().at(flow.account->name);
-    auto toldAt = quota.toldAt();
-    auto totalsAge = toldAt ? "totals received " + std::to_string((now - *toldAt) / 1ms) + " ms ago" : std::string("no totals received");
+    auto lastTotalAt = quota.lastTotalAt();
+    auto totalsAge
+        = lastTotalAt ? "totals received " + std::to_string((now - *lastTotalAt) / 1ms) + " ms ago" : std::string("no totals received");
     refuseUntil(flow, ResultCode::AccountRateLimit,
         "account " + flow.account->name + " requests " + std::to_string(std::llround(amount)) + " and has "
-            + std::to_string(std::llround(quota.left(now))) + " left of " + std::to_string(std::llround(quota.rule().perSecond))
+            + std::to_string(std::llround(quota.remaining(now))) + " left of " + std::to_string(std::llround(quota.rule().perSecond))
             + " per second, " + totalsAge,
         decision.retryAfter, now);
     return false;
@@ -112,7 +113,7 @@
     auto status = httpStatusOf(code);
     bool hasNotRun = status == 503 || status == 429 || status == 401 || !flow.sends;
     if (auto chargedQuota = std::exchange(flow.chargedQuota, 0); chargedQuota > 0 && hasNotRun)
-        m_quotas.giveBack(flow.account->name, chargedQuota, now);
+        m_quotas.refund(flow.account->name, chargedQuota, now);
 }
 
 void ForwardLogic::on(const QuotaTotalsReceived& event, Instant now) { m_quotas.take(event.controller, event.totals, now); }
--- a/src/request/forward/ForwardEvents.h
+++ b/src/request/forward/ForwardEvents.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "message/Messages.h"
-#include "request/engine/EngineRooms.h"
+#include "request/engine/EngineHeadroomTable.h"
 #include "request/forward/EventSplitter.h"
 #include "version/RoutingDocument.h"
 
@@ -89,7 +89,7 @@
 /// A sidecar reported how much KV memory of its engine is free.
 struct EngineCapacityReported {
     std::string address; ///< Of the engine.
-    EngineRooms::Room capacity;
+    EngineHeadroomTable::Headroom capacity;
 };
 /// The connection to a peer was closed.
 struct PeerDisconnected {
@@ -146,13 +146,13 @@
 };
 /// The time of nextWake() has come.
 struct Tick { };
-using wrenhinge::Announced;
 using wrenhinge::RegistryHeartbeat;
+using wrenhinge::RelayedAnnouncement;
+using wrenhinge::ReplicaWithdrawn;
 using wrenhinge::StageChange;
-using wrenhinge::Withdrawn;
 using Event = std::variant<Submit, CallerDisconnected, AnswerHead, AnswerBody, AnswerEnd, CallFailed, ReservationGranted,
     ReservationRefused, SidecarReservationReply, EngineCapacityReported, PeerDisconnected, RegistryHeartbeatReceived, RegistryListReceived,
-    PrefillFinished, PrefillFailed, DocumentReceived, DocumentConfirmed, Announced, Withdrawn, RegistryHeartbeat, StageChange,
-    ControllerConnected, CrashesReported, QuotaTotalsReceived, Stop, Tick>;
+    PrefillFinished, PrefillFailed, DocumentReceived, DocumentConfirmed, RelayedAnnouncement, ReplicaWithdrawn, RegistryHeartbeat,
+    StageChange, ControllerConnected, CrashesReported, QuotaTotalsReceived, Stop, Tick>;
 
 } // namespace wrenhinge::forward
--- a/test/correctness/AccountTest.cpp
+++ b/test/correctness/AccountTest.cpp
@@ -38,7 +38,7 @@
         post(RegistryHeartbeatReceived { PeerId(50), { {}, 1 } });
         replica("r1");
     }
-    RequestId askWith(const std::string& path, const std::string& key, RequestFingerprint fingerprint = {})
+    RequestId requestWithKey(const std::string& path, const std::string& key, RequestFingerprint fingerprint = {})
     {
         return submit(path, 600ms, fingerprint, key);
     }
@@ -49,10 +49,10 @@
 TEST_CASE("a request runs for the account whose key its caller shows, and for nobody else")
 {
     Site site;
-    site.askWith("/once/x", "k2");
+    site.requestWithKey("/once/x", "k2");
     CHECK(site.only<Send>().account == "desk");
     for (const auto* key : { "k4", "k", "" }) {
-        site.askWith("/once/x", key);
+        site.requestWithKey("/once/x", key);
         CHECK(site.effects<Send>().empty());
         CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
         CHECK(httpStatusOf(ResultCode::UnknownAccount) == 401);
@@ -64,10 +64,10 @@
 {
     Site site;
     for (const auto* key : { "", "k4" }) {
-        site.askWith("/open/x", key);
+        site.requestWithKey("/open/x", key);
         CHECK(site.only<Send>().account == "");
     }
-    site.askWith("/open/x", "k3");
+    site.requestWithKey("/open/x", "k3");
     CHECK(site.only<Send>().account == "gate");
 }
 
@@ -95,15 +95,15 @@
 TEST_CASE("a gateway that hears no controller does not say of a key that nobody holds it")
 {
     Site site;
-    site.now += AccountQuotas::contactLasts + 1ms;
-    site.askWith("/once/x", "k4");
+    site.now += AccountQuotas::contactTimeout + 1ms;
+    site.requestWithKey("/once/x", "k4");
     CHECK(site.only<Refuse>().error.code == ResultCode::ConfigUnavailable);
     CHECK(site.only<Refuse>().error.retryAfter);
     // One who shows none is refused whatever documents there may be.
-    site.askWith("/once/x", "");
+    site.requestWithKey("/once/x", "");
     CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
     // Those that are known are served on.
-    site.askWith("/once/x", "k1");
+    site.requestWithKey("/once/x", "k1");
     CHECK(site.effects<Send>().size() == 1);
 }
 
@@ -121,7 +121,7 @@
     site.streamHead(running);
     site.post(AnswerBody { running.id, running.attempt, "id: 1\ndata: x\n\n" });
     CHECK(site.effects<StreamBytes>().size() == 1);
-    site.askWith("/once/x", "k1");
+    site.requestWithKey("/once/x", "k1");
     CHECK(site.only<Refuse>().error.code == ResultCode::UnknownAccount);
 }
 
@@ -150,18 +150,18 @@
     Site site;
     RequestFingerprint print(7);
     auto crashOf = [&](const std::string& key) {
-        site.askWith("/once/x", key, print);
+        site.requestWithKey("/once/x", key, print);
         auto send = site.only<Send>();
         site.now += 50ms;
         site.post(CallFailed { send.id, send.attempt, true, "reset" });
-        auto told = site.effects<ReportCrashes>();
+        auto reports = site.effects<ReportCrashes>();
         site.wait(1s);
-        return told.empty() ? RequestFingerprint() : told.front().report.crashes.front().request;
+        return reports.empty() ? RequestFingerprint() : reports.front().report.crashes.front().request;
     };
     auto first = crashOf("k1");
-    CHECK((first == ofAccount(print, "desk")));
+    CHECK((first == fingerprintForAccount(print, "desk")));
     site.replica("r2").replica("r3");
-    CHECK((crashOf("k3") == ofAccount(print, "gate")));
+    CHECK((crashOf("k3") == fingerprintForAccount(print, "gate")));
     CHECK((crashOf("k2") == first));
 }
 
@@ -178,10 +178,10 @@
         desk.quota = { QuotaRule::Unit::Tokens, 1000, 12'000, 200 };
         post(DocumentReceived { documentOf(1, { desk, account("gate", { "k3" }) }), true });
         for (int i = 0; i < 15; ++i)
-            hear();
+            receiveTotals();
         replica("r1").replica("d1", UpstreamKind::Decode).replica("p1", UpstreamKind::Prefill);
     }
-    void hear()
+    void receiveTotals()
     {
         post(RegistryHeartbeatReceived { controller, { {}, 1 } });
         wait(1s);
@@ -195,7 +195,7 @@
 TEST_CASE("an account beyond its quota is refused before a replica is asked for anything, and told when to come back")
 {
     LimitedSite site;
-    site.hear();
+    site.receiveTotals();
     for (int i = 0; i < 2; ++i) {
         site.submit("/stream/x", 14s, {}, "k1");
         CHECK(site.effects<Refuse>().empty());
@@ -216,9 +216,9 @@
 namespace {
 
 /// Engines with room for half as many callers again as come on an ordinary day, and sixteen accounts with 1.8 times what they send.
-class Town : public Bench {
+class LoadedSite : public Bench {
 public:
-    Town()
+    LoadedSite()
         : Bench({ "zone-1", 1, { 0.2, 60, 10s }, "gateway-1", { 8s, 0, 0 } })
     {
         std::vector<AccountRule> accounts;
@@ -227,27 +227,27 @@
             accounts.back().quota = { QuotaRule::Unit::Tokens, 1.8 * tokens, 2 * tokens, tokens };
         }
         post(DocumentReceived { documentOf(1, accounts), true });
-        play(5s, {});
+        simulate(5s, {});
         served.assign(accountCount, 0);
     }
 
     /// \param perSecond requests of the first account; each of the others sends one a second.
-    void play(Duration time, std::optional<int> perSecond)
+    void simulate(Duration time, std::optional<int> perSecond)
     {
         for (auto end = now + time; now < end; ++m_step) {
             for (int i = 0; perSecond && i < accountCount; ++i) {
                 auto rate = i ? 1 : *perSecond;
                 if ((m_step + 6 * i) * rate % stepsPerSecond < rate)
-                    askFor(i);
+                    sendRequest(i);
             }
             if (m_step % stepsPerSecond == 0)
-                hear();
+                receiveTotals();
             wait(Duration(1s) / stepsPerSecond);
-            answer();
+            respond();
             while (!m_due.empty() && m_due.begin()->first <= now) {
                 auto event = m_due.extract(m_due.begin()).mapped();
                 post(event);
-                answer();
+                respond();
             }
         }
     }
@@ -259,19 +259,19 @@
     static constexpr int stepsPerSecond = 100;
     static constexpr double tokens = 5800;
 
-    void askFor(int account)
+    void sendRequest(int account)
     {
         auto id = submit("/stream/x", 14s, {}, "key-" + std::to_string(account));
         m_askedBy[id] = account;
-        answer();
+        respond();
     }
 
-    void hear()
+    void receiveTotals()
     {
         post(RegistryHeartbeatReceived { PeerId(50), { {}, 1 } });
-        answer();
+        respond();
         post(QuotaTotalsReceived { PeerId(50), { {}, true } });
-        answer();
+        respond();
         announce("p1", UpstreamKind::Prefill);
         for (const auto* id : { "d1", "d2", "d3" })
             announce(id, UpstreamKind::Decode);
@@ -280,11 +280,11 @@
     void announce(const std::string& id, UpstreamKind kind)
     {
         replica(id, kind, ++m_announced);
-        answer();
+        respond();
     }
 
     /// The engines' answers to what was done last: a prompt takes 20 ms, an answer a second.
-    void answer()
+    void respond()
     {
         for (const auto& take : effects<ReserveAtReplica>())
             m_due.emplace(now, ReservationGranted { take.id, take.attempt, "place-" + std::to_string(++m_places) });
@@ -316,46 +316,46 @@
 
 TEST_CASE("an account that sends six times its usual is served its quota, and the others as on any day")
 {
-    Town usual;
-    usual.play(20s, 1);
-    Town hot;
-    hot.play(20s, 6);
-    CHECK(usual.refused == 0);
-    CHECK(hot.refused == 0);
-    for (std::size_t i = 1; i < hot.served.size(); ++i) {
-        CHECK(usual.served[i] >= 19);
-        CHECK(hot.served[i] >= usual.served[i]);
+    LoadedSite baseline;
+    baseline.simulate(20s, 1);
+    LoadedSite overloaded;
+    overloaded.simulate(20s, 6);
+    CHECK(baseline.refused == 0);
+    CHECK(overloaded.refused == 0);
+    for (std::size_t i = 1; i < overloaded.served.size(); ++i) {
+        CHECK(baseline.served[i] >= 19);
+        CHECK(overloaded.served[i] >= baseline.served[i]);
     }
-    CHECK(hot.served[0] >= 1.8 * 20 * 0.95);
-    CHECK(hot.served[0] <= 1.8 * 20 + 2 + 1);
+    CHECK(overloaded.served[0] >= 1.8 * 20 * 0.95);
+    CHECK(overloaded.served[0] <= 1.8 * 20 + 2 + 1);
 }
 
 TEST_CASE("a request that is refused for want of room costs its account nothing, and one that may have run does")
 {
     LimitedSite site;
-    site.hear();
-    auto left = [&site] { return site.logic().quotas().accounts().at("desk").left(site.now); };
-    auto before = left();
+    site.receiveTotals();
+    auto remaining = [&site] { return site.logic().quotas().accounts().at("desk").remaining(site.now); };
+    auto before = remaining();
     auto take = (site.submit("/stream/x", 14s, {}, "k1"), site.only<ReserveAtReplica>());
-    CHECK(left() == doctest::Approx(before - 5800));
+    CHECK(remaining() == doctest::Approx(before - 5800));
     site.post(ReservationRefused { take.id, take.attempt, true });
     site.post(CallerDisconnected { take.id });
-    CHECK(left() == doctest::Approx(before));
+    CHECK(remaining() == doctest::Approx(before));
     site.submit("/once/x", 600ms, {}, "k1");
     auto send = site.only<Send>();
     site.post(CallFailed { send.id, send.attempt, true, "reset" });
     CHECK(site.only<Refuse>().error.code == ResultCode::UpstreamFailed);
-    CHECK(left() == doctest::Approx(before - 200));
+    CHECK(remaining() == doctest::Approx(before - 200));
 }
 
 TEST_CASE("what is used is reported to all controllers, under the account's hash and with its limit")
 {
     LimitedSite site;
-    site.hear();
+    site.receiveTotals();
     site.submit("/stream/x", 14s, {}, "k1");
-    site.wait(AccountQuotas::reportSoon);
+    site.wait(AccountQuotas::promptReportDelay);
     auto report = site.only<ReportQuotaUsage>().report;
-    CHECK((report.teller == LimitedSite::controller));
+    CHECK((report.totalsSource == LimitedSite::controller));
     REQUIRE(report.uses.size() == 1);
     CHECK((report.uses[0].account == accountId("desk")));
     CHECK(report.uses[0].amount == doctest::Approx(5800));
