--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -33,7 +33,7 @@
 /// A caller's request, decoded.
 struct CallerWords {
     std::string id; ///< The caller's own name for it, which the replica's answer repeats.
-    forward::Ask ask;
+    forward::RequestMetadata ask;
 };
 
 /// The words in which a platform's callers and replicas speak.
--- a/src/request/forward/ForwardEngines.cpp
+++ b/src/request/forward/ForwardEngines.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of ForwardLogic that chooses which engines this gateway uses, and keeps links to the sidecars beside these.
+ * The part of ForwardLogic that selects the subset of engines that this gateway uses, and keeps connections to their sidecars.
  */
 #include "request/forward/ForwardLogic.h"
 
@@ -7,60 +7,60 @@
 
 using namespace forward;
 
-// --- What controllers know of replicas --------------------------------------------------------------------------
+// --- The replica registry of the controllers --------------------------------------------------------------------
 
 void ForwardLogic::on(const RegistryHeartbeatReceived& event, Instant now)
 {
     m_quotas.noteContact(event.controller, now);
     on(event.heartbeat, now);
-    m_follower.digestReceived(event.controller, event.heartbeat.digest, event.heartbeat.known);
-    askForRegistry(now);
+    m_registryFollower.digestReceived(event.controller, event.heartbeat.digest, event.heartbeat.known);
+    fetchRegistry(now);
 }
 
 void ForwardLogic::on(const RegistryListReceived& event, Instant now)
 {
-    m_follower.listReceived(event.controller);
+    m_registryFollower.listReceived(event.controller);
     for (const auto& announced : event.list.known)
-        take(announced, now);
+        apply(announced, now);
     for (const auto& withdrawn : event.list.ended)
-        take(withdrawn, now);
+        apply(withdrawn, now);
     for (const auto& change : event.list.changing)
         on(change, now);
-    chooseEngines(now);
-    askForRegistry(now);
+    selectEngines(now);
+    fetchRegistry(now);
 }
 
-void ForwardLogic::askForRegistry(Instant now)
+void ForwardLogic::fetchRegistry(Instant now)
 {
     auto digest = m_replicas.registry().digest();
-    if (auto controller = m_follower.nextPeerToQuery(digest, now))
+    if (auto controller = m_registryFollower.nextPeerToQuery(digest, now))
         m_effects.push_back(FetchRegistry { *controller, { digest } });
 }
 
 void ForwardLogic::on(const PeerDisconnected& event, Instant)
 {
     m_replicas.rooms().forget(event.peer);
-    m_follower.disconnected(event.peer);
+    m_registryFollower.disconnected(event.peer);
     m_quotas.disconnected(event.peer);
 }
 
-// --- Which engines are used -------------------------------------------------------------------------------------
+// --- The subset of engines --------------------------------------------------------------------------------------
 
-void ForwardLogic::chooseEnginesIfDue(Instant now)
+void ForwardLogic::selectEnginesIfDue(Instant now)
 {
-    if (now - m_enginesChosenAt >= engineSelectionInterval)
-        chooseEngines(now);
+    if (now - m_enginesSelectedAt >= engineSelectionInterval)
+        selectEngines(now);
 }
 
-/// Only on news from controllers: while none is heard, all engines look silent, and those that were chosen stay.
-void ForwardLogic::chooseEngines(Instant now)
+/// Called only on messages from controllers: without them all engines seem to have stopped announcing themselves, and the subset stays.
+void ForwardLogic::selectEngines(Instant now)
 {
-    m_enginesChosenAt = now;
+    m_enginesSelectedAt = now;
     m_replicas.subset().choose(m_replicas.registry(), now);
-    linkSidecars(now);
+    updateSidecarLinks(now);
 }
 
-void ForwardLogic::linkSidecars(Instant now)
+void ForwardLogic::updateSidecarLinks(Instant now)
 {
     std::set<std::string> used;
     const auto& entries = m_replicas.registry().entries();
--- a/src/request/forward/ForwardReservations.cpp
+++ b/src/request/forward/ForwardReservations.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The part of ForwardLogic that is about engines: a place at a decode replica first, then the prompt's prefill, then the run.
+ * The part of ForwardLogic for engines: first a reservation at a decode replica, then the prefill, then the run.
  */
 #include "request/forward/ForwardLogic.h"
 
@@ -11,29 +11,29 @@
 
 namespace {
 
-    /// A place is set aside for at most this long: several times the longest prefill with its queue, so that it does not lapse
-    /// while the prompt is read, and short enough that one which a lost gateway has taken is soon free again.
-    constexpr Duration placeValidFor = 1500ms;
-    /// A replica that had no room is asked again after this long. Twelve replicas of a dozen streams of 4 s end one every 30 ms.
-    constexpr Duration askFullAgainAfter = 40ms;
-    /// From the place to the first event, beside the prefill: transfer, the first tokens, the ways between.
-    constexpr Duration afterPrefill = 120ms;
-    constexpr Duration usualPrefill = 130ms;
-    /// Replicas that are asked to read one prompt. Where two refuse, something is wrong with more than one of them, and each further call
-    /// draws on the budget of all.
-    constexpr std::size_t prefillsAtMost = 2;
-    /// When to come back after a surge was too much: spread over these, so that the return is no second surge.
-    constexpr Duration latestReturn = 4500ms;
+    /// Lifetime of a reservation at most: several times the longest prefill including its queueing, so that the reservation doesn't
+    /// expire during the prefill, but short enough that one of a crashed gateway is soon free again.
+    constexpr Duration maxReservationLifetime = 1500ms;
+    /// A full replica is asked again after this long. Twelve replicas with a dozen streams of 4 s each end a stream every 30 ms.
+    constexpr Duration fullRetryInterval = 40ms;
+    /// Estimated time from the reservation to the first event, without the prefill: KV transfer, first tokens, network latency.
+    constexpr Duration overheadAfterPrefill = 120ms;
+    constexpr Duration minPrefillEstimate = 130ms;
+    /// Maximum number of prefill replicas that are tried for one prompt. If two refuse, the problem isn't a single replica, and each
+    /// further call uses up the shared retry budget.
+    constexpr std::size_t maxPrefillReplicas = 2;
+    /// Longest Retry-After during a surge. It is drawn at random between the shortest and this, so that the retries are no second surge.
+    constexpr Duration maxOverloadRetryAfter = 4500ms;
 
 } // namespace
 
-// --- Places -----------------------------------------------------------------------------------------------------
+// --- Reservations -----------------------------------------------------------------------------------------------
 
-/// \returns false if the service's replicas set nothing aside.
-bool ForwardLogic::waitForPlace(Flow& flow, Instant now)
+/// \returns false if the request needs no reservation, since the service has none or no decode replica is ready.
+bool ForwardLogic::enqueueForReservation(Flow& flow, Instant now)
 {
     const auto* rule = engineRule(flow);
-    if (!rule || rule->engine.reservationTimeout <= Duration::zero() || !flow.ask.promptTokens)
+    if (!rule || rule->engine.reservationTimeout <= Duration::zero() || !flow.request.promptTokens)
         return false;
     // Without any decode replica there is nothing to wait for.
     if (!m_replicas.hasReady(flow.service, UpstreamKind::Decode))
@@ -41,44 +41,44 @@
     flow.stage = Flow::Stage::Waiting;
     flow.waiter = ReservationQueue::makeWaiter(flow.id, rankOf(flow), flow.arrivedAt, admitBy(flow), now);
     m_queue.add(flow.waiter);
-    m_mayAdmit = true;
+    m_shouldAdmit = true;
     return true;
 }
 
-/// The latest moment for a place that still lets the first event meet the target, which counts from the caller's first attempt.
+/// The latest time for a reservation with which the first event can meet the target, which counts from the caller's first attempt.
 Instant ForwardLogic::admitBy(const Flow& flow) const
 {
     auto prefill = fromSeconds(m_replicas.meanSeconds(flow.service, UpstreamKind::Prefill));
-    return flow.arrivedAt - spentBefore(flow) + flow.route->target - afterPrefill - std::max(prefill, usualPrefill);
+    return flow.arrivedAt - timeSpentBefore(flow) + flow.route->target - overheadAfterPrefill - std::max(prefill, minPrefillEstimate);
 }
 
 void ForwardLogic::admitWaiting(Instant now)
 {
     for (const auto& id : m_queue.inOrder(now)) {
         auto& flow = m_flows.at(id);
-        auto need = needOf(flow);
-        need.excludeFull = true;
-        if (auto choice = m_replicas.choose(need, {}, now)) {
+        auto criteria = criteriaOf(flow);
+        criteria.excludeFull = true;
+        if (auto choice = m_replicas.choose(criteria, {}, now)) {
             m_queue.remove(id);
-            takePlace(flow, *choice, now);
+            requestReservation(flow, *choice, now);
         }
     }
-    m_admitAt = m_queue.size() ? now + askFullAgainAfter : Instant::max();
+    m_retryAdmissionAt = m_queue.size() ? now + fullRetryInterval : Instant::max();
 }
 
-void ForwardLogic::takePlace(Flow& flow, const ReplicaTable::Choice& choice, Instant now)
+void ForwardLogic::requestReservation(Flow& flow, const ReplicaTable::Choice& choice, Instant now)
 {
-    flow.stage = Flow::Stage::TakingPlace;
+    flow.stage = Flow::Stage::Reserving;
     startCall(flow, choice, now);
     const auto& engine = engineRule(flow)->engine;
-    if (const auto* room = m_replicas.rooms().find(choice.address)) {
-        flow.reservedBy = room->sidecar;
-        m_replicas.rooms().take(choice.address, flow.ask.promptTokens);
-        m_effects.push_back(ReserveAtSidecar {
-            room->sidecar, flow.id, flow.attempt, flow.ask.promptTokens, expectedTokensOf(flow), flow.ask.outputTokens, engine.slots });
+    if (const auto* capacity = m_replicas.rooms().find(choice.address)) {
+        flow.reservationSidecar = capacity->sidecar;
+        m_replicas.rooms().take(choice.address, flow.request.promptTokens);
+        m_effects.push_back(ReserveAtSidecar { capacity->sidecar, flow.id, flow.attempt, flow.request.promptTokens, expectedTokensOf(flow),
+            flow.request.outputTokens, engine.slots });
     } else {
-        auto validFor = std::min(engine.reservationTimeout, placeValidFor);
-        m_effects.push_back(ReserveAtReplica { flow.id, flow.attempt, choice.run, choice.address, tokensOf(flow), validFor });
+        auto validFor = std::min(engine.reservationTimeout, maxReservationLifetime);
+        m_effects.push_back(ReserveAtReplica { flow.id, flow.attempt, choice.run, choice.address, reservedTokensOf(flow), validFor });
     }
     scheduleCheck(flow);
 }
@@ -86,25 +86,25 @@
 void ForwardLogic::on(const SidecarReservationReply& event, Instant now)
 {
     auto* flow = current(event.id, event.attempt);
-    if (!flow || flow->stage != Flow::Stage::TakingPlace)
+    if (!flow || flow->stage != Flow::Stage::Reserving)
         return;
-    m_replicas.rooms().setTokens(flow->replicaAddress, event.room);
+    m_replicas.rooms().setTokens(flow->replicaAddress, event.freeTokens);
     if (event.isGranted)
         return on(ReservationGranted { event.id, event.attempt, "" }, now);
-    flow->reservedBy.reset();
+    flow->reservationSidecar.reset();
     on(ReservationRefused { event.id, event.attempt, true }, now);
 }
 
 void ForwardLogic::on(const EngineCapacityReported& event, Instant)
 {
-    bool isMore = m_replicas.rooms().update(event.address, event.room);
-    m_mayAdmit = m_mayAdmit || (isMore && m_queue.size());
+    bool hasIncreased = m_replicas.rooms().update(event.address, event.capacity);
+    m_shouldAdmit = m_shouldAdmit || (hasIncreased && m_queue.size());
 }
 
-/// Tells the sidecar that keeps the flow's place, if any, that it is of no use any more.
-void ForwardLogic::endReservation(Flow& flow, bool isComplete, bool hasFailed)
+/// Notifies the sidecar that holds the flow's reservation, if any, that the reservation ends.
+void ForwardLogic::endSidecarReservation(Flow& flow, bool isComplete, bool hasFailed)
 {
-    if (auto sidecar = std::exchange(flow.reservedBy, std::nullopt))
+    if (auto sidecar = std::exchange(flow.reservationSidecar, std::nullopt))
         m_effects.push_back(EndSidecarReservation { *sidecar, flow.id, isComplete, hasFailed });
 }
 
@@ -116,7 +116,7 @@
     endCall(*flow, CallOutcome::Abandoned, now);
     flow->reservationWait = now - flow->arrivedAt;
     flow->reservation = Reservation { flow->replica, flow->replicaAddress, event.reservation };
-    m_replicas.reserve(flow->replica, tokensOf(*flow));
+    m_replicas.reserve(flow->replica, reservedTokensOf(*flow));
     if (!prefill(*flow, now))
         runOrFail(*flow, now);
 }
@@ -127,91 +127,91 @@
     if (!flow)
         return;
     endCall(*flow, event.wasReached ? CallOutcome::Abandoned : CallOutcome::Unreachable, now);
-    m_replicas.noteFull(flow->replica, now + askFullAgainAfter);
-    waitAgain(*flow);
+    m_replicas.noteFull(flow->replica, now + fullRetryInterval);
+    requeue(*flow);
 }
 
-/// Back into the queue for places, where it was.
-void ForwardLogic::waitAgain(Flow& flow)
+/// Puts the request back into the reservation queue with its former position.
+void ForwardLogic::requeue(Flow& flow)
 {
     flow.stage = Flow::Stage::Waiting;
     m_queue.add(flow.waiter);
-    m_mayAdmit = true;
+    m_shouldAdmit = true;
 }
 
-void ForwardLogic::refuseLeaving(Instant now)
+void ForwardLogic::refuseExpired(Instant now)
 {
     for (const auto& id : m_queue.takeExpired(now)) {
         auto& flow = m_flows.at(id);
-        refuseUntil(flow, ResultCode::Overloaded, "no decode replica has room in time", returnAfterSurge(flow, now), now);
+        refuseUntil(flow, ResultCode::Overloaded, "no decode replica has capacity in time", overloadRetryAfter(flow, now), now);
     }
 }
 
-Duration ForwardLogic::returnAfterSurge(const Flow& flow, Instant now)
+Duration ForwardLogic::overloadRetryAfter(const Flow& flow, Instant now)
 {
-    auto spread = std::uniform_int_distribution<std::int64_t>(minOverloadRetryAfter.count(), latestReturn.count())(m_random);
-    return std::min<Duration>(Duration(spread), (flow.endsAt - now) * 10 / 31);
+    auto spread = std::uniform_int_distribution<std::int64_t>(minOverloadRetryAfter.count(), maxOverloadRetryAfter.count())(m_random);
+    return std::min<Duration>(Duration(spread), (flow.deadline - now) * 10 / 31);
 }
 
-void ForwardLogic::dropPlace(Flow& flow)
+void ForwardLogic::releaseReservation(Flow& flow)
 {
     auto reservation = std::exchange(flow.reservation, std::nullopt);
     if (!reservation)
         return;
-    m_replicas.release(reservation->replica, tokensOf(flow));
-    if (flow.reservedBy)
-        endReservation(flow, false);
+    m_replicas.release(reservation->replica, reservedTokensOf(flow));
+    if (flow.reservationSidecar)
+        endSidecarReservation(flow, false);
     else
         m_effects.push_back(ReleaseReservation { std::move(*reservation) });
 }
 
-/// Where the request runs: at its place, if that replica still takes work.
+/// Chooses the replica that runs the request: the one with the reservation, if it still accepts work.
 std::optional<ReplicaTable::Choice> ForwardLogic::chooseForRun(Flow& flow, Instant now)
 {
-    if (flow.source && flow.sourceEndsAt <= now)
-        dropSource(flow);
+    if (flow.kvSource && flow.kvSourceExpiresAt <= now)
+        releaseKvSource(flow);
     if (flow.reservation && m_replicas.isReady(flow.reservation->replica))
         return ReplicaTable::Choice { flow.reservation->replica, flow.reservation->address };
-    dropPlace(flow);
-    auto need = needOf(flow);
-    if (flow.source)
-        need.preferredZone = m_replicas.zoneOf(flow.source->replica);
-    return m_replicas.choose(need, flow.tried, now);
+    releaseReservation(flow);
+    auto criteria = criteriaOf(flow);
+    if (flow.kvSource)
+        criteria.preferredZone = m_replicas.zoneOf(flow.kvSource->replica);
+    return m_replicas.choose(criteria, flow.tried, now);
 }
 
 // --- Prefill ----------------------------------------------------------------------------------------------------
 
-/// Has a prefill replica read the prompt. Decode replicas read at half the speed, in small pieces between the tokens of the
-/// streams that run there, and hold those up: with prompts of 5,000 tokens at 13 a second over 7 decode replicas the first
-/// event came after 1.8 s (median) when they read all prompts themselves, against a target of 0.9 s.
+/// Starts the prefill at a prefill replica. Decode replicas prefill at half the speed, in small chunks between the tokens of the streams
+/// that run there, which they delay: with 13 prompts of 5,000 tokens a second over 7 decode replicas, the median time to the first event
+/// was 1.8 s when these prefilled all prompts themselves, with a target of 0.9 s. \returns whether a prefill was started.
 bool ForwardLogic::prefill(Flow& flow, Instant now)
 {
     const auto* rule = engineRule(flow);
-    if (!rule || rule->engine.kvRetention <= Duration::zero() || !flow.ask.promptTokens)
+    if (!rule || rule->engine.kvRetention <= Duration::zero() || !flow.request.promptTokens)
         return false;
-    ReplicaTable::Criteria need;
-    need.service = flow.service;
-    need.kind = UpstreamKind::Prefill;
-    need.tokens = need.promptTokens = flow.ask.promptTokens;
+    ReplicaTable::Criteria criteria;
+    criteria.service = flow.service;
+    criteria.kind = UpstreamKind::Prefill;
+    criteria.tokens = criteria.promptTokens = flow.request.promptTokens;
     if (flow.reservation)
-        need.preferredZone = m_replicas.zoneOf(flow.reservation->replica);
-    need.cacheTokens = rule->engine.cacheTokens;
-    need.maxCalls = callLimit(rule);
-    // A prefill that is refused counts as a call beyond the first. After a restart of the whole site many replicas are remembered that have
-    // started again under other ids; each gateway learns that of each of them by a refusal, and hundreds of requests by two.
-    need.excludeOverdue = m_budget.remaining(flow.service, now) < 1;
-    auto choice = m_replicas.choose(need, flow.triedReaders, now);
+        criteria.preferredZone = m_replicas.zoneOf(flow.reservation->replica);
+    criteria.cacheTokens = rule->engine.cacheTokens;
+    criteria.maxCalls = callLimit(rule);
+    // A refused prefill counts as a retry. After a restart of the whole site, the gateways know many replicas that have restarted under
+    // other ids. Each gateway finds that out for each of them by a refusal, and hundreds of requests are refused twice.
+    criteria.excludeOverdue = m_budget.remaining(flow.service, now) < 1;
+    auto choice = m_replicas.choose(criteria, flow.triedPrefillReplicas, now);
     if (!choice)
         return false;
     flow.stage = Flow::Stage::Prefilling;
-    flow.triedReaders.insert(choice->run);
+    flow.triedPrefillReplicas.insert(choice->run);
     startCall(flow, *choice, now);
-    if (const auto* room = m_replicas.rooms().find(choice->address)) {
-        flow.readsBeside = room->sidecar;
-        m_replicas.rooms().addPrefill(choice->address, flow.ask.promptTokens);
-        m_effects.push_back(NotifyPrefill { room->sidecar, flow.id, flow.ask.promptTokens, false });
+    if (const auto* capacity = m_replicas.rooms().find(choice->address)) {
+        flow.prefillSidecar = capacity->sidecar;
+        m_replicas.rooms().addPrefill(choice->address, flow.request.promptTokens);
+        m_effects.push_back(NotifyPrefill { capacity->sidecar, flow.id, flow.request.promptTokens, false });
     }
-    Send send { flow.id, flow.attempt, choice->run, choice->address, flow.endsAt - now, std::nullopt, true, std::nullopt, {}, {}, {} };
+    Send send { flow.id, flow.attempt, choice->run, choice->address, flow.deadline - now, std::nullopt, true, std::nullopt, {}, {}, {} };
     send.account = accountOf(flow);
     m_effects.push_back(std::move(send));
     scheduleCheck(flow);
@@ -224,13 +224,13 @@
     if (!flow)
         return;
     endCall(*flow, CallOutcome::Served, now);
-    m_engineLoad.recordPrefill(flow->service, flow->ask.promptTokens, now - flow->sentAt);
+    m_engineLoad.recordPrefill(flow->service, flow->request.promptTokens, now - flow->sentAt);
     m_effects.push_back(LogEvent {
         EventCode::PrefillFinished, flow->id, toString(flow->replica) + " after " + std::to_string((now - flow->sentAt) / 1ms) + " ms" });
-    flow->reader = flow->replica;
-    flow->readerAddress = flow->replicaAddress;
-    flow->source = KvCacheSource { flow->replica, flow->replicaAddress, event.handle };
-    flow->sourceEndsAt = now + engineRule(*flow)->engine.kvRetention;
+    flow->prefillReplica = flow->replica;
+    flow->prefillReplicaAddress = flow->replicaAddress;
+    flow->kvSource = KvCacheSource { flow->replica, flow->replicaAddress, event.handle };
+    flow->kvSourceExpiresAt = now + engineRule(*flow)->engine.kvRetention;
     runOrFail(*flow, now);
 }
 
@@ -240,57 +240,57 @@
     if (!flow)
         return;
     endCall(*flow, event.isMisdirected ? CallOutcome::Misdirected : CallOutcome::Refused, now);
-    // A prefill that is refused counts against the site's bound, the first one that is accepted does not. What was taken for the next one
-    // instead left out the second of two refusals, and each first one while there was no budget for a second.
+    // A refused prefill is charged to the retry budget; the first one that is accepted is not. Charging the next prefill instead missed
+    // the second of two refusals, and also the first one when there was no budget for another.
     if (event.wasNotAccepted)
         m_budget.charge(flow->service, now);
     bool isWithinBudget = m_budget.remaining(flow->service, now) >= 0;
-    prefillElsewhere(*flow, event.wasNotAccepted && isWithinBudget && flow->triedReaders.size() < prefillsAtMost, now);
+    retryPrefillOrRun(*flow, event.wasNotAccepted && isWithinBudget && flow->triedPrefillReplicas.size() < maxPrefillReplicas, now);
 }
 
-/// A prefill that surely was not accepted, or whose replica has ended, is asked of another replica. Any other one that may have been
-/// accepted is not: a second one would count as an attempt, and routes whose requests may run only once have no other. The decode replica
-/// then reads the prompt itself, which is slower and holds up the streams that run there.
-void ForwardLogic::prefillElsewhere(Flow& flow, bool mayBeAsked, Instant now)
+/// Retries a prefill at another replica if it certainly wasn't accepted or its replica has ended (mayRetry). A prefill that may have
+/// been accepted isn't retried: a second one would count as an attempt, and routes whose requests may run only once have no other. The
+/// decode replica then runs the prefill itself, which is slower and delays the streams that run there.
+void ForwardLogic::retryPrefillOrRun(Flow& flow, bool mayRetry, Instant now)
 {
     if (crashesReplicas(flow, now))
         return refuseAsCrashing(flow, now);
-    if (!mayBeAsked || !prefill(flow, now))
+    if (!mayRetry || !prefill(flow, now))
         runOrFail(flow, now);
 }
 
-/// Before a request is sent once more: has its prompt read again if the replica that had read it started again meanwhile.
-/// \returns false if there is nothing to read, or nobody to read it within the budget.
-bool ForwardLogic::prefillAgain(Flow& flow, Instant now)
+/// Before a request is sent again: repeats the prefill if the replica that had run it has restarted meanwhile.
+/// \returns false if that isn't needed, or not possible within the retry budget.
+bool ForwardLogic::repeatPrefill(Flow& flow, Instant now)
 {
-    bool isNeeded = std::exchange(flow.hasLostPrompt, false) && !flow.hasBegun;
+    bool isNeeded = std::exchange(flow.hasLostKvCache, false) && !flow.hasStreamStarted;
     return isNeeded && m_budget.take(flow.service, now) && prefill(flow, now);
 }
 
-// --- How busy the engines are -----------------------------------------------------------------------------------
+// --- Load reports -----------------------------------------------------------------------------------------------
 
-/// Starts the reports with the first work after an idle time.
-void ForwardLogic::scheduleReport(Instant now)
+/// Starts the periodic reports with the first work after an idle period.
+void ForwardLogic::scheduleLoadReport(Instant now)
 {
-    if (m_reportAt != Instant::max() || !m_engineLoad.hasWork())
+    if (m_loadReportAt != Instant::max() || !m_engineLoad.hasWork())
         return;
-    m_reportAt = now + loadReportInterval;
+    m_loadReportAt = now + loadReportInterval;
 }
 
 void ForwardLogic::reportLoad(Instant now)
 {
-    if (m_reportAt > now)
+    if (m_loadReportAt > now)
         return;
-    m_reportAt = m_engineLoad.hasWork() ? now + loadReportInterval : Instant::max();
+    m_loadReportAt = m_engineLoad.hasWork() ? now + loadReportInterval : Instant::max();
     m_effects.push_back(ReportLoad { m_engineLoad.take(now) });
 }
 
-/// The call that named the KV cache never reached the replica that it meant, so the cache is still there for another one.
-void ForwardLogic::takeSourceBack(Flow& flow) { flow.source = std::exchange(flow.sentSource, std::nullopt); }
+/// The call with the KV cache source didn't reach its replica, so the cache wasn't fetched and can be used by another one.
+void ForwardLogic::restoreKvSource(Flow& flow) { flow.kvSource = std::exchange(flow.sentKvSource, std::nullopt); }
 
-void ForwardLogic::dropSource(Flow& flow)
+void ForwardLogic::releaseKvSource(Flow& flow)
 {
-    if (auto source = std::exchange(flow.source, std::nullopt))
+    if (auto source = std::exchange(flow.kvSource, std::nullopt))
         m_effects.push_back(ReleaseKvCache { std::move(*source) });
 }
 
--- a/src/request/forward/LoadShedder.cpp
+++ b/src/request/forward/LoadShedder.cpp
@@ -6,23 +6,24 @@
 
 namespace {
 
-    /// Answers that take more than the first part of the target are late, since the ways to the caller come on top; those that take less
-    /// than the second are early.
-    constexpr double latePart = 0.8;
-    constexpr double earlyPart = 0.5;
-    /// A service whose answers can't be as fast as that is not late by queueing: these many times its fastest ones, at least.
-    constexpr double lateTimes = 3;
-    constexpr double earlyTimes = 2;
-    /// How much one answer counts: some ten in a row decide.
-    constexpr double step = 0.04;
-    /// Pressure below this refuses nothing: a few late answers among many are the service's own spread.
-    constexpr double ignored = 0.15;
-    /// Some requests go on to the replicas always, as only their answers show that there is room again.
-    constexpr double mostRefused = 0.9;
-    /// For how long a replica's refusal shows that replicas are full. At the settled share a gateway sees one every second or two.
-    constexpr Duration fullFor = 5s;
-    /// The fastest answer is forgotten by this part with each answer.
-    constexpr double forgetFastest = 0.002;
+    /// An answer that takes more than the first share of the target is late, since the transfer to the caller comes on top; one that
+    /// takes less than the second share is early.
+    constexpr double lateTargetShare = 0.8;
+    constexpr double earlyTargetShare = 0.5;
+    /// An answer is late or early by at least this multiple of the service's fastest ones: a service that is always slower than the
+    /// thresholds above is not late because of queueing.
+    constexpr double lateFastestMultiple = 3;
+    constexpr double earlyFastestMultiple = 2;
+    /// Change of the pressure per answer: about ten in a row have a clear effect.
+    constexpr double pressureStep = 0.04;
+    /// Below this pressure no request is refused: a few late answers among many are normal variation.
+    constexpr double pressureThreshold = 0.15;
+    /// Some requests are always sent to the replicas, since only their answers show that there is capacity again.
+    constexpr double maxRefusedShare = 0.9;
+    /// For how long replicas count as full after one refused a call. In the steady state a gateway sees a refusal every second or two.
+    constexpr Duration fullSignalLifetime = 5s;
+    /// The fastest latency grows by this share with each answer, so that it adapts to a service that becomes slower.
+    constexpr double fastestDecay = 0.002;
 
     Duration scaled(Duration d, double by) { return fromSeconds(toSeconds(d) * by); }
 
@@ -32,29 +33,32 @@
 {
     auto& service = m_services[name];
     bool isFirst = service.fastest == Duration::zero();
-    service.fastest = isFirst ? took : std::min(took, scaled(service.fastest, 1 + forgetFastest));
-    bool isLate = took > std::max(scaled(target, latePart), scaled(service.fastest, lateTimes));
-    bool isEarly = took < std::max(scaled(target, earlyPart), scaled(service.fastest, earlyTimes));
-    bool isFull = service.fullAt != Instant() && now - service.fullAt < fullFor;
+    service.fastest = isFirst ? took : std::min(took, scaled(service.fastest, 1 + fastestDecay));
+    bool isLate = took > std::max(scaled(target, lateTargetShare), scaled(service.fastest, lateFastestMultiple));
+    bool isEarly = took < std::max(scaled(target, earlyTargetShare), scaled(service.fastest, earlyFastestMultiple));
+    bool isFull = service.fullAt != Instant() && now - service.fullAt < fullSignalLifetime;
     if (isLate && isFull)
-        press(service, step);
+        adjustPressure(service, pressureStep);
     else if (isEarly || !isFull)
-        press(service, -step);
+        adjustPressure(service, -pressureStep);
 }
 
 void LoadShedder::noteFull(const std::string& name, Instant now)
 {
     auto& service = m_services[name];
     service.fullAt = now;
-    press(service, step);
+    adjustPressure(service, pressureStep);
 }
 
-void LoadShedder::press(Service& service, double by) { service.pressure = std::clamp(service.pressure + by, 0.0, ignored + mostRefused); }
+void LoadShedder::adjustPressure(Service& service, double by)
+{
+    service.pressure = std::clamp(service.pressure + by, 0.0, pressureThreshold + maxRefusedShare);
+}
 
 double LoadShedder::refusedShare(const std::string& name) const
 {
     auto it = m_services.find(name);
-    return it == m_services.end() ? 0 : std::max(0.0, it->second.pressure - ignored);
+    return it == m_services.end() ? 0 : std::max(0.0, it->second.pressure - pressureThreshold);
 }
 
 } // namespace wrenhinge
--- a/src/request/forward/StreamForecast.cpp
+++ b/src/request/forward/StreamForecast.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// An answer has at least one token, whatever its caller expects.
+    /// An answer has at least one token, even if its caller expects none.
     double atLeastOne(std::uint32_t tokens) { return std::max(1u, tokens); }
 
 } // namespace
@@ -24,12 +24,12 @@
     const auto* streams = find(service);
     if (!streams)
         return std::nullopt;
-    Stream most;
+    Stream maxima;
     for (const auto& stream : *streams) {
-        most.timeToFirstByte = std::max(most.timeToFirstByte, stream.timeToFirstByte);
-        most.secondsPerToken = std::max(most.secondsPerToken, stream.secondsPerToken);
+        maxima.timeToFirstByte = std::max(maxima.timeToFirstByte, stream.timeToFirstByte);
+        maxima.secondsPerToken = std::max(maxima.secondsPerToken, stream.secondsPerToken);
     }
-    return most.timeToFirstByte + fromSeconds(most.secondsPerToken * atLeastOne(expectedTokens));
+    return maxima.timeToFirstByte + fromSeconds(maxima.secondsPerToken * atLeastOne(expectedTokens));
 }
 
 const StreamForecast::Streams* StreamForecast::find(const std::string& service) const
