--- a/src/request/sidecar/AdmissionLedger.h
+++ b/src/request/sidecar/AdmissionLedger.h
@@ -26,7 +26,7 @@
     /// Revokes an admission, because the attempt did not reach the upstream and never will.
     void withdraw(const std::string& key, Attempt);
     /// Records the upstream's answer. If its body exceeds the limit, only the fact that the attempt ran is kept.
-    void finish(const std::string& key, Attempt, KeptAnswer);
+    void finish(const std::string& key, Attempt, StoredResponse);
     /// Records that the call failed after bytes may have reached the upstream.
     void markBroken(const std::string& key, Attempt);
     /// Returns the state of the attempt. If it was never admitted, it is sealed: it can't be admitted afterwards.
@@ -37,8 +37,8 @@
 private:
     struct Entry {
         Attempt attempt; ///< The highest attempt that was admitted or sealed.
-        AdmissionState state = AdmissionState::NeverAdmitted;
-        KeptAnswer answer;
+        AttemptState state = AttemptState::NeverAdmitted;
+        StoredResponse answer;
     };
     Entry* find(const std::string& key, Attempt);
 
--- a/src/request/sidecar/GatewayContext.cpp
+++ b/src/request/sidecar/GatewayContext.cpp
@@ -57,7 +57,10 @@
         send(to, std::move(message));
 }
 
-void GatewayContext::note(EventCode code, const RequestId& id, std::string text) { effects.push_back(Note { code, id, std::move(text) }); }
+void GatewayContext::note(EventCode code, const RequestId& id, std::string text)
+{
+    effects.push_back(LogEvent { code, id, std::move(text) });
+}
 
 void GatewayContext::answerHead(GatewayRequest& request, int status, HeaderList headers)
 {
@@ -118,12 +121,12 @@
 
 bool GatewayContext::crashesReplicas(const GatewayRequest& request, Instant now) const
 {
-    return safeguards.refusesCrashingRequests && crashes.standing(request.fingerprint, now) == CrashTracker::Standing::Refused;
+    return safeguards.refusesCrashingRequests && crashes.statusOf(request.fingerprint, now) == CrashTracker::Status::Refused;
 }
 
 void GatewayContext::refuseAsCrashing(GatewayRequest& request, Instant now)
 {
-    failRequest(request, ResultCode::CrashesReplicas, CrashTracker::whyRefused, now);
+    failRequest(request, ResultCode::CrashesReplicas, CrashTracker::refusalReason, now);
 }
 
 void GatewayContext::noteServed(const GatewayRequest& request, Instant now)
--- a/src/request/sidecar/GatewayLogic.cpp
+++ b/src/request/sidecar/GatewayLogic.cpp
@@ -60,7 +60,7 @@
     auto& request = m_context.requests[event.request];
     request.id = event.request;
     request.caller = caller;
-    request.fingerprint = ofAccount(fingerprintOf({ caller.method, {}, caller.target, caller.body }), caller.account);
+    request.fingerprint = fingerprintForAccount(fingerprintOf({ caller.method, {}, caller.target, caller.body }), caller.account);
     request.rules = rules.value();
     bool isUrgent = request.rules.urgent == UrgentRule::Always || (request.rules.urgent == UrgentRule::OnRequest && caller.asksUrgent);
     request.priority = isUrgent ? Priority::Urgent : Priority::Normal;
@@ -147,7 +147,7 @@
         m_context.controllers.onControllerUp(event.peer.id);
         m_context.sendAll(m_context.follower.onControllerUp(event.peer.id, now));
         // The controller may have restarted and lost its crash records.
-        if (auto report = m_context.crashes.describeAll(CrashTracker::Standing::Unknown, now); !report.isEmpty())
+        if (auto report = m_context.crashes.describeAll(CrashTracker::Status::Unknown, now); !report.isEmpty())
             m_context.send(event.peer.id, std::move(report));
     }
 }
@@ -177,7 +177,7 @@
     checkDrained();
 }
 
-void GatewayLogic::on(const gateway::FromPeer& event, Instant now)
+void GatewayLogic::on(const gateway::PeerMessage& event, Instant now)
 {
     std::visit(
         [&](const auto& message) {
@@ -190,7 +190,7 @@
     checkDrained();
 }
 
-void GatewayLogic::onMessage(PeerId from, const Announce& message, Instant now)
+void GatewayLogic::onMessage(PeerId from, const UpstreamAnnouncement& message, Instant now)
 {
     auto it = m_sidecars.find(from);
     if (it == m_sidecars.end())
@@ -258,7 +258,7 @@
     auto* request = findCurrent(from, message.request, message.attempt);
     if (!request)
         return;
-    if (message.hasBrokenOff && (from == request->upstream || from == request->prefill))
+    if (message.isDisconnected && (from == request->upstream || from == request->prefill))
         m_context.noteCrash(*request, from, now);
     withFlow(*request, [&](auto& flow) { flow.onFailed(*request, from, message, now); });
 }
@@ -329,7 +329,7 @@
             withFlow(it->second, [&](auto& flow) { flow.tick(it->second, now); });
     }
     if (now >= m_nextCrashExpiry) {
-        m_context.crashes.forgetOld(now);
+        m_context.crashes.removeExpired(now);
         m_nextCrashExpiry = now + crashExpiryInterval;
     }
     m_nextTick = now + (m_context.controllers.empty() ? tickInterval : proposalTickInterval);
--- a/src/request/sidecar/SidecarEvents.h
+++ b/src/request/sidecar/SidecarEvents.h
@@ -28,8 +28,8 @@
 namespace sidecar {
 
     // Events.
-    using wrenhinge::FromPeer;
     using wrenhinge::PeerDown;
+    using wrenhinge::PeerMessage;
     using wrenhinge::PeerUp;
     struct CallHead {
         CallId call;
@@ -56,13 +56,13 @@
         CallId call;
         bool mayHaveRun = true;
         ResultCode code = ResultCode::UpstreamFailed;
-        bool hasBrokenOff = false; ///< The connection closed before the response ended: the engine may have crashed.
+        bool isDisconnected = false; ///< The connection closed before the response ended: the engine may have crashed.
     };
     /// The process was asked to shut down: it takes no new work and ends when the work in progress has ended.
     struct Drain { };
     struct Tick { };
 
-    using Event = std::variant<PeerUp, PeerDown, FromPeer, CallHead, CallData, CallEnd, CallPrefilled, CallFailed, Drain, Tick>;
+    using Event = std::variant<PeerUp, PeerDown, PeerMessage, CallHead, CallData, CallEnd, CallPrefilled, CallFailed, Drain, Tick>;
 
     // Effects.
     struct Send {
@@ -82,7 +82,7 @@
     /// No work is in progress after a Drain: the process may exit.
     struct Drained { };
 
-    using Effect = std::variant<Send, StartCall, AbortCall, ReleaseResult, Drained, Note>;
+    using Effect = std::variant<Send, StartCall, AbortCall, ReleaseResult, Drained, LogEvent>;
 
 } // namespace sidecar
 } // namespace wrenhinge
--- a/test/correctness/LedgerTest.cpp
+++ b/test/correctness/LedgerTest.cpp
@@ -78,7 +78,7 @@
 TEST_CASE("a sealed attempt is never admitted, but the next attempt is")
 {
     AdmissionLedger ledger(100);
-    CHECK(ledger.seal({ request, "k", Attempt(1) }).state == AdmissionState::NeverAdmitted);
+    CHECK(ledger.seal({ request, "k", Attempt(1) }).state == AttemptState::NeverAdmitted);
     CHECK(!ledger.admit("k", Attempt(1)));
     CHECK(ledger.admit("k", Attempt(2)));
 }
@@ -101,7 +101,7 @@
     ledger.admit("large", Attempt(1));
     ledger.finish("large", Attempt(1), { 200, {}, "abcde", true });
     auto reply = ledger.seal({ request, "large", Attempt(1) });
-    CHECK(reply.state == AdmissionState::Finished);
+    CHECK(reply.state == AttemptState::Finished);
     CHECK(!reply.answer.complete);
 }
 
@@ -109,21 +109,21 @@
 {
     Ledger ledger;
     RequestId other { PeerId(8), 1 };
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(2), other }).state == LedgerState::Exists);
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
-    CHECK(ledger.intend({ "k", 6, Attempt(2), PeerId(1), other }).state == LedgerState::Mismatch);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(2), other }).state == LedgerState::Exists);
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).state == LedgerState::Accepted);
+    CHECK(ledger.recordIntent({ "k", 6, Attempt(2), PeerId(1), other }).state == LedgerState::Mismatch);
 }
 
 TEST_CASE("attempt numbers can't be skipped, and no intent is accepted after an outcome")
 {
     Ledger ledger;
-    ledger.intend({ "k", 5, Attempt(1), PeerId(1), request });
-    CHECK(ledger.intend({ "k", 5, Attempt(3), PeerId(1), request }).state == LedgerState::Exists);
-    ledger.conclude({ "k", Attempt(1), AdmissionState::Finished, { 200, {}, "x", true } });
-    CHECK(ledger.intend({ "k", 5, Attempt(2), PeerId(1), request }).state == LedgerState::Exists);
-    ledger.conclude({ "k", Attempt(1), AdmissionState::Broken, {} });
-    CHECK(ledger.intend({ "k", 5, Attempt(1), PeerId(1), request }).outcome == AdmissionState::Finished);
+    ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(3), PeerId(1), request }).state == LedgerState::Exists);
+    ledger.recordOutcome({ "k", Attempt(1), AttemptState::Finished, { 200, {}, "x", true } });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(2), PeerId(1), request }).state == LedgerState::Exists);
+    ledger.recordOutcome({ "k", Attempt(1), AttemptState::Interrupted, {} });
+    CHECK(ledger.recordIntent({ "k", 5, Attempt(1), PeerId(1), request }).outcome == AttemptState::Finished);
 }
 
 TEST_CASE("a dispatch for another run of the sidecar is refused")
@@ -131,7 +131,7 @@
     // Guards against a dispatch that runs twice: it is addressed to the previous run of a sidecar and delivered after its restart.
     auto logic = plainSidecar();
     logic.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
-    auto effects = logic.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(6), 1) }, start);
+    auto effects = logic.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(6), 1) }, start);
     CHECK(count<sidecar::StartCall>(effects) == 0);
     CHECK(countSent<Refused>(effects) == 1);
 
@@ -139,13 +139,13 @@
     disabled.refusesOtherIncarnation = false;
     auto unguarded = plainSidecar(disabled);
     unguarded.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
-    CHECK(count<sidecar::StartCall>(unguarded.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(6), 1) }, start)) == 1);
+    CHECK(count<sidecar::StartCall>(unguarded.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(6), 1) }, start)) == 1);
 }
 
 TEST_CASE("a message from a gateway that is not connected starts no work")
 {
     auto logic = plainSidecar();
-    auto effects = logic.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(7), 1) }, start);
+    auto effects = logic.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(7), 1) }, start);
     CHECK(count<sidecar::StartCall>(effects) == 0);
 }
 
@@ -153,7 +153,7 @@
 {
     auto logic = plainSidecar();
     logic.step(sidecar::PeerUp { helloOf(9, Role::Gateway) }, start);
-    logic.step(sidecar::FromPeer { PeerId(9), dispatchTo(PeerId(7), 1) }, start);
+    logic.step(sidecar::PeerMessage { PeerId(9), dispatchTo(PeerId(7), 1) }, start);
     auto effects = logic.step(sidecar::PeerDown { PeerId(9) }, start);
     CHECK(count<sidecar::AbortCall>(effects) == 0);
     CHECK(logic.inProgress() == 1);
@@ -171,12 +171,12 @@
         logic.step(gateway::PeerUp { hello }, start);
         LoadReport load;
         load.slots = 1;
-        logic.step(gateway::FromPeer { hello.id, Announce { "saatja", UpstreamKind::Plain, "", 3s, load } }, start);
+        logic.step(gateway::PeerMessage { hello.id, UpstreamAnnouncement { "saatja", UpstreamKind::Plain, "", 3s, load } }, start);
         CallerRequest caller;
         caller.account = "a";
         caller.service = "saatja";
         logic.step(gateway::Submit { request, caller }, start);
-        auto effects = logic.step(gateway::FromPeer { hello.id, ResponseHead { request, Attempt(0), 200, {} } }, start);
+        auto effects = logic.step(gateway::PeerMessage { hello.id, ResponseHead { request, Attempt(0), 200, {} } }, start);
         CHECK(count<gateway::AnswerHead>(effects) == (checks ? 0 : 1));
     }
 }
