--- a/src/request/sidecar/QueueAdmission.cpp
+++ b/src/request/sidecar/QueueAdmission.cpp
@@ -55,7 +55,7 @@
 {
     Work probe;
     probe.priority = priority;
-    probe.deadline = now + 1h; // Behind all of its own class.
+    probe.deadline = now + 1h; // Queued after all work of the same priority.
     return predictedWait(table, probe, now);
 }
 
--- a/src/request/sidecar/UpstreamTable.cpp
+++ b/src/request/sidecar/UpstreamTable.cpp
@@ -13,7 +13,7 @@
 
     std::string indexKey(const std::string& service, UpstreamKind kind) { return service + "/" + std::to_string(static_cast<int>(kind)); }
 
-    /// Spreads the bits of an identity or a prefix's hash (the finaliser of MurmurHash3).
+    /// Mixes the bits of an id or of a prefix's hash (the 64-bit finalizer of MurmurHash3).
     std::uint64_t mix(std::uint64_t x)
     {
         x ^= x >> 33;
@@ -95,7 +95,8 @@
     return sequence;
 }
 
-/// A replica that fails is left alone for a while, longer each time; it returns with one chance before the next ejection.
+/// Ejects a replica after consecutive failures, for a time that doubles with each ejection. After its return the next
+/// failure ejects it again.
 UpstreamTable::Change UpstreamTable::recordFailure(PeerId id, Instant now)
 {
     auto it = m_upstreams.find(id);
