--- a/src/version/ControllerLogic.h
+++ b/src/version/ControllerLogic.h
@@ -88,6 +88,7 @@
     [[nodiscard]] std::string leaderAdminAddress() const;
 
 private:
+    /// A proposal whose entry is not applied yet, and its proposer.
     struct PendingProposal {
         std::uint64_t term = 0;
         PeerId peer;
--- a/src/version/Raft.h
+++ b/src/version/Raft.h
@@ -67,7 +67,7 @@
         std::size_t toleratedFailures = 0;
         DiskId disk;
         bool isNewCluster = false; ///< An empty disk may vote only in a cluster that is being bootstrapped.
-        Duration electionTimeout = 400ms; ///< An election starts after one to two of these without contact to a leader.
+        Duration electionTimeout = 400ms; ///< An election starts after one to two of these without contact with a leader.
         Duration heartbeat = 80ms;
         std::uint64_t seed = 1;
         /// Whether the state machine can load this snapshot; empty: it can load any.
@@ -147,10 +147,11 @@
     [[nodiscard]] std::uint64_t commitIndex() const { return m_commit; }
     [[nodiscard]] std::uint64_t appliedIndex() const { return m_applied; }
     [[nodiscard]] std::uint64_t lastIndex() const { return m_snapshot.lastIndex + m_entries.size(); }
+    /// Number of entries after the snapshot.
     [[nodiscard]] std::size_t entriesKept() const { return m_entries.size(); }
-    /// Bytes of routing documents in the entries that are applied and not compacted away.
+    /// Bytes of routing documents in the entries that are applied and not yet compacted.
     [[nodiscard]] std::size_t bytesKept() const { return m_bytesKept; }
-    /// Whether the log holds a routing document that is not applied here yet.
+    /// Whether the log contains a routing document that is not applied yet.
     [[nodiscard]] bool hasUnappliedDocument() const;
     /// Whether this is the leader or has received a message from the leader within the last election timeout.
     [[nodiscard]] bool hasLeaderContact(Instant now) const;
@@ -164,8 +165,7 @@
         std::uint64_t next = 1;
         std::uint64_t match = 0;
         std::uint64_t round = 0;
-        std::uint64_t nextResetRound
-            = 0; ///< Rejections of requests before this round are ignored: they were sent before `next` was last reset.
+        std::uint64_t nextResetRound = 0; ///< Rejections of requests sent before this round are ignored.
         Instant lastReplyAt;
         DiskId disk;
         bool hasReplied = false; ///< Since this leader was elected, with this disk.
@@ -251,7 +251,7 @@
     std::uint64_t m_incomingTerm = 0; ///< The term of the leader that sends `m_incoming`.
     Instant m_electionDue;
     Instant m_leaderContactAt;
-    bool m_isFirstElection = true; ///< Since its start this member has neither had contact to a leader nor started an election.
+    bool m_isFirstElection = true; ///< Since its start this member has neither had contact with a leader nor started an election.
     Instant m_heartbeatDue;
     bool m_needsFlush = false;
     std::mt19937_64 m_random;
--- a/src/version/RaftMembers.cpp
+++ b/src/version/RaftMembers.cpp
@@ -51,6 +51,7 @@
     }
 }
 
+/// Applies a disk or membership entry. These take effect once they are in the log, before they are committed.
 void Raft::applyMembership(const LogEntry& entry)
 {
     if (const auto* replace = std::get_if<ReplaceDiskCommand>(&entry.command)) {
