--- a/src/version/DocumentFollower.h
+++ b/src/version/DocumentFollower.h
@@ -29,11 +29,11 @@
 
 namespace document {
 
-    // Events. FromPeer's message is a DocumentOffer or a DocumentPart; other messages are ignored.
-    using wrenhinge::FromPeer;
+    // Events. PeerMessage's message is a DocumentOffer or a DocumentPart; other messages are ignored.
     using wrenhinge::PeerDown;
+    using wrenhinge::PeerMessage;
     struct Tick { };
-    using Event = std::variant<FromPeer, PeerDown, Tick>;
+    using Event = std::variant<PeerMessage, PeerDown, Tick>;
 
     // Effects.
     /// Sends a request to a controller.
@@ -51,7 +51,7 @@
     struct Confirm {
         std::uint64_t version = 0;
     };
-    using Effect = std::variant<Ask, Install, Confirm, Note>;
+    using Effect = std::variant<Ask, Install, Confirm, LogEvent>;
 
 } // namespace document
 
@@ -87,7 +87,7 @@
         Instant askedAt;
     };
 
-    void on(const document::FromPeer&, Instant);
+    void on(const document::PeerMessage&, Instant);
     void on(const document::PeerDown&, Instant);
     void on(const document::Tick&, Instant);
     void onOffer(PeerId, const DocumentOffer&);
