--- a/src/version/LogStorage.cpp
+++ b/src/version/LogStorage.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-    /// Entries from this index on are void.
+    /// Entries from this index on are deleted.
     struct Truncation {
         std::uint64_t from = 0;
         MSGPACK_DEFINE(from)
@@ -62,7 +62,8 @@
     std::error_code ec;
     std::filesystem::create_directories(folder, ec);
     if (ec)
-        return Error { ResultCode::StorageFailed, "can't make " + folder + ": " + ec.message() + "; check the path in `controller.data`" };
+        return Error { ResultCode::StorageFailed,
+            "can't create " + folder + ": " + ec.message() + "; check the path in `controller.data`" };
     if (auto identity = openIdentity(newDiskId); !identity)
         return identity.error();
     auto snapshot = readSnapshot();
@@ -78,7 +79,7 @@
     for (const auto& entry : recovered.value().entries) {
         if (entry.index != ++expected)
             return Error { ResultCode::StorageCorrupt,
-                folder + ": the log lacks entry " + std::to_string(expected) + "; replace this controller's disk (docs/RECOVERY.md)" };
+                folder + ": the log has no entry " + std::to_string(expected) + "; replace this controller's disk (docs/RECOVERY.md)" };
     }
     return recovered;
 }
@@ -99,7 +100,7 @@
     }
     if (std::filesystem::exists(pathOf("log")))
         return Error { ResultCode::StorageCorrupt,
-            m_folder + " has a log but no identity; replace this controller's disk (docs/RECOVERY.md)" };
+            m_folder + " contains a log but no identity; replace this controller's disk (docs/RECOVERY.md)" };
     m_disk = newDiskId;
     return replaceFile(m_folder, "identity", encodeRecord(encodeValue(m_disk)));
 }
@@ -151,7 +152,7 @@
     m_truncatedBytes = bytes.value().size() - at;
     m_logSize = at;
     if (m_truncatedBytes && (::ftruncate(m_log, static_cast<off_t>(at)) != 0 || ::fsync(m_log) != 0))
-        return storageError("can't cut the torn end of", path);
+        return storageError("can't truncate the torn record at the end of", path);
     return recovered;
 }
 
@@ -174,7 +175,7 @@
         m_logSize += bytes.size();
         return written;
     }
-    // A half-written record in the middle of the log would look like damage: cut it off while we know where it began.
+    // A partial record in the middle of the log would look like damage, so it is truncated while its start is known.
     if (::ftruncate(m_log, static_cast<off_t>(m_logSize)) != 0)
         return storageError("can't undo a failed write to", pathOf("log"));
     return written;
@@ -194,7 +195,7 @@
 
 Result<void> LogStorage::saveSnapshot(const raft::Snapshot& snapshot)
 {
-    // The log is read back below, so that it must hold all that was added.
+    // The log is read back below, so all added records must be written first.
     if (auto synced = sync(); !synced)
         return synced;
     if (auto saved = replaceFile(m_folder, "snapshot", encodeRecord(encodeValue(snapshot))); !saved)
