--- a/test/correctness/StageTest.cpp
+++ b/test/correctness/StageTest.cpp
@@ -194,7 +194,7 @@
 
 TEST_CASE("a gateway reports the load that it adds, not what is queued at a slow or unresponsive replica")
 {
-    EngineFacts facts { 64, 60000, 2s, 500ms, 6s };
+    EngineProperties facts { 64, 60000, 2s, 500ms, 6s };
     EngineLoad load;
     auto now = start;
     load.take(now);
@@ -225,7 +225,7 @@
 {
     // Guards against decode replicas being ordered to the prefill stage seconds after a restart. Answers take 1 to 9 s, 5 s on average.
     // After 6 s mostly short ones have ended, and a mean over these alone is 2.4 s.
-    EngineFacts facts { 64, 60000, 2s, 500ms, 6s };
+    EngineProperties facts { 64, 60000, 2s, 500ms, 6s };
     EngineLoad load;
     auto now = start;
     load.take(now);
@@ -265,7 +265,7 @@
     ReplicaTable table("z", 1);
     auto now = start;
     table.registry().announce(engine(sent.engine.run.id, UpstreamKind::Prefill), {}, now);
-    ReplicaTable::Need need;
+    ReplicaTable::Criteria need;
     need.service = "llm";
     need.kind = UpstreamKind::Prefill;
     CHECK(table.choose(need, {}, now));
