--- a/src/process/ControllerRole.cpp
+++ b/src/process/ControllerRole.cpp
@@ -85,7 +85,7 @@
               },
               [this](PeerId peer, Message&& message) { onMessage(peer, std::move(message)); },
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
-              runtime.refusals().ofLinks() })
+              runtime.refusals().linkHandler() })
     , m_registrar(m_strand, m_hub, runtime.log())
     , m_crashes(m_strand, m_hub, runtime.log(), m_registrar.registry())
     , m_quotas(m_strand, m_hub)
@@ -343,7 +343,7 @@
 
 void ControllerRole::answer(std::uint64_t ticket, ProposeReply reply)
 {
-    Answered answered;
+    ReplyCallback answered;
     {
         std::lock_guard lock(m_queueMutex);
         auto it = m_tickets.find(ticket);
@@ -357,7 +357,7 @@
 
 void ControllerRole::refuseTickets()
 {
-    std::map<std::uint64_t, Answered> tickets;
+    std::map<std::uint64_t, ReplyCallback> tickets;
     {
         std::lock_guard lock(m_queueMutex);
         tickets = std::exchange(m_tickets, {});
@@ -370,19 +370,19 @@
     }
 }
 
-std::uint64_t ControllerRole::newTicket(Answered answered)
+std::uint64_t ControllerRole::newTicket(ReplyCallback answered)
 {
     std::lock_guard lock(m_queueMutex);
     m_tickets[++m_lastTicket] = std::move(answered);
     return m_lastTicket;
 }
 
-void ControllerRole::propose(Command command, Answered answered, bool isWhole)
+void ControllerRole::propose(Command command, ReplyCallback answered, bool sendsWholeText)
 {
-    post(controller::LocalPropose { newTicket(std::move(answered)), std::move(command), isWhole });
+    post(controller::LocalPropose { newTicket(std::move(answered)), std::move(command), sendsWholeText });
 }
 
-void ControllerRole::readDocument(Answered answered) { post(controller::LocalRead { newTicket(std::move(answered)) }); }
+void ControllerRole::readDocument(ReplyCallback answered) { post(controller::LocalRead { newTicket(std::move(answered)) }); }
 
 void ControllerRole::stopLoop()
 {
--- a/src/process/CrashRelay.cpp
+++ b/src/process/CrashRelay.cpp
@@ -24,7 +24,7 @@
 void CrashRelay::check()
 {
     m_exchange.check(m_registry, currentInstant());
-    m_timer.expires_after(checkEvery);
+    m_timer.expires_after(checkInterval);
     m_timer.async_wait([this](ErrorCode ec) {
         if (!ec)
             check();
--- a/src/process/CrashRelay.h
+++ b/src/process/CrashRelay.h
@@ -16,7 +16,7 @@
 class CrashRelay {
 public:
     /// What the announcements have refuted is dropped this often.
-    static constexpr Duration checkEvery = 1s;
+    static constexpr Duration checkInterval = 1s;
 
     /// \param registry of the replicas that announce themselves; used on the strand alone.
     CrashRelay(Strand, PeerHub&, EventLog&, const ReplicaRegistry& registry);
--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -101,7 +101,7 @@
                   },
                   [this](PeerId peer, Message&& message) { onMessage(peer, std::move(message)); },
                   [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
-                  runtime.refusals().ofLinks() })
+                  runtime.refusals().linkHandler() })
         , m_callers(m_strand,
               [this](HttpRequest&& request, std::shared_ptr<HttpAnswer> answer) { onRequest(std::move(request), std::move(answer)); })
         , m_ready(m_strand, [this](HttpRequest&&, const std::shared_ptr<HttpAnswer>& answer) { onReadyCheck(*answer); })
@@ -306,7 +306,7 @@
             auto own = readOwnAnswer(answer, caller);
             auto handle = own.isSuccess ? Dialect::readPrefill(answer.body) : std::nullopt;
             if (own.isSuccess && !handle)
-                m_runtime.refusals().note(Door::Report, replica.id, "its answer to a prompt names no usable handle");
+                m_runtime.refusals().note(InputSource::Report, replica.id, "its answer to a prompt names no usable handle");
             if (handle)
                 post(forward::PrefillFinished { id, attempt, std::move(*handle) });
             else
@@ -326,7 +326,7 @@
             bool isTaken = readOwnAnswer(answer, caller).isSuccess;
             auto reservation = isTaken ? Dialect::readPlace(answer.body) : std::nullopt;
             if (isTaken && !reservation)
-                m_runtime.refusals().note(Door::Report, replica.id, "its answer names no usable place");
+                m_runtime.refusals().note(InputSource::Report, replica.id, "its answer names no usable place");
             if (reservation)
                 post(forward::ReservationGranted { id, attempt, std::move(*reservation) });
             else
--- a/src/process/GatewayRole.cpp
+++ b/src/process/GatewayRole.cpp
@@ -41,7 +41,7 @@
                   m_driver.post(gateway::PeerMessage { peer, std::move(message) });
               },
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
-              runtime.refusals().ofLinks() })
+              runtime.refusals().linkHandler() })
     , m_callers(runtime.io(), settings.callers, runtime.self(),
           { [this](const RequestId& id, CallerRequest caller) {
                m_driver.post(gateway::Submit { id, std::move(caller) });
--- a/src/process/Registrar.cpp
+++ b/src/process/Registrar.cpp
@@ -27,7 +27,7 @@
 {
     m_countsFrom = currentInstant() + m_countsAfter;
     for (const auto& announcement : remembered)
-        m_registry.announce(announcement, rememberedAge, currentInstant());
+        m_registry.announce(announcement, restoredAge, currentInstant());
     sendHeartbeats();
 }
 
@@ -199,7 +199,7 @@
         if (peer.role != Role::Sidecar)
             m_hub.send(peer.id, peer.role == Role::Gateway ? forGateways : forControllers);
     }
-    m_timer.expires_after(heartbeatEvery);
+    m_timer.expires_after(heartbeatInterval);
     m_timer.async_wait([this](ErrorCode ec) {
         if (!ec)
             sendHeartbeats();
--- a/src/process/Registrar.h
+++ b/src/process/Registrar.h
@@ -23,18 +23,18 @@
 class Registrar {
 public:
     /// Renewals are told this often; a gateway doubts a replica after several times that.
-    static constexpr Duration heartbeatEvery = 1s;
+    static constexpr Duration heartbeatInterval = 1s;
 
     /// A replica that is remembered counts as heard of this long ago: it is used at once, and doubted 2 s later unless it announces
     /// itself, which takes one interval of 1.2 s and some hundred ms.
-    static constexpr Duration rememberedAge = 2500ms;
+    static constexpr Duration restoredAge = 2500ms;
 
     /// A controller that has just started is linked to those gateways that have found it so far, and they would each take too large a share
     /// of what all may send beyond first calls. Within this time the last one has found it: several of the longest pauses between dials.
-    static constexpr Duration countsGatewaysAfter = 5s;
+    static constexpr Duration gatewayCountDelay = 5s;
 
     /// \param countsAfter for how long after `start` it says nothing of how many gateways there are.
-    Registrar(Strand, PeerHub&, EventLog&, Duration countsAfter = countsGatewaysAfter);
+    Registrar(Strand, PeerHub&, EventLog&, Duration countsAfter = gatewayCountDelay);
 
     /// \param remembered replicas that were known before this process started.
     void start(const std::vector<Announcement>& remembered);
--- a/src/process/StageKeeper.h
+++ b/src/process/StageDriver.h
@@ -39,13 +39,13 @@
         } -> std::same_as<stages::OrderAnswer>;
 };
 
-template <EngineDialect Dialect> class StageKeeper {
+template <EngineDialect Dialect> class StageDriver {
 public:
     /// How often plans are made. Loads are reported once a second, but at a site with 180 engines an order may follow another by 0.22 s.
-    static constexpr Duration tickEvery = 100ms;
+    static constexpr Duration tickInterval = 100ms;
 
     /// \param holder names this controller to engines.
-    StageKeeper(ControllerRole& role, Runtime& runtime, Duration lease, std::string holder)
+    StageDriver(ControllerRole& role, Runtime& runtime, Duration lease, std::string holder)
         : m_role(role)
         , m_log(runtime.log())
         , m_pool(role.strand())
@@ -77,7 +77,7 @@
             return;
         post(stages::LeadershipChanged { m_role.leadingTerm() });
         post(stages::Tick {});
-        m_timer.expires_after(tickEvery);
+        m_timer.expires_after(tickInterval);
         m_timer.async_wait([this](ErrorCode ec) {
             if (!ec)
                 tick();
@@ -95,7 +95,8 @@
         auto onEnd = [this, order = read.order, engine = read.engine.run.id](const GatheredAnswer& answer) {
             auto state = Dialect::engineState(answer);
             if (!state && answer.head.status == 200)
-                m_role.refusals().note(Door::Report, engine, "its report lacks the count of its orders, or whether one is carried out");
+                m_role.refusals().note(
+                    InputSource::Report, engine, "its report lacks the count of its orders, or whether one is carried out");
             post(stages::EngineRead { order, state });
         };
         auto onFailure = [this, order = read.order](bool, const std::string&) { post(stages::EngineRead { order, std::nullopt }); };
--- a/test/fuzz/FuzzTest.cpp
+++ b/test/fuzz/FuzzTest.cpp
@@ -14,7 +14,7 @@
 #include "Mutator.h"
 #include "connection/MessageCheck.h"
 #include "message/Codec.h"
-#include "process/DiskMemory.h"
+#include "process/PersistedList.h"
 #include "version/DiskFile.h"
 #include "version/LogStorage.h"
 
@@ -147,7 +147,7 @@
         require(!faultOf(*announcement), "an accepted announcement can be used");
     if (const auto* put = std::get_if<PutDocument>(&result.value()))
         checkDocument(put->document);
-    if (const auto* leaves = std::get_if<ReplicaLeaves>(&result.value()))
+    if (const auto* leaves = std::get_if<ReplicaWithdrawal>(&result.value()))
         require(isToken(leaves->id), "an id can stand in a path");
     return true;
 }
@@ -200,8 +200,8 @@
 bool memory(const std::string& input)
 {
     // As it comes from a disk, and as another release may have written it.
-    (void)ReplicaMemory::read(input, [](const std::string&) {});
-    auto list = ReplicaMemory::read(
+    (void)PersistedReplicas::read(input, [](const std::string&) {});
+    auto list = PersistedReplicas::read(
         disk::encodeRecord(input), [](const std::string& why) { require(!why.empty() && why.size() < 400, "a reason is given"); });
     if (!list)
         return false;
