--- a/src/process/ControlServer.h
+++ b/src/process/ControlServer.h
@@ -1,9 +1,9 @@
 /** \file
- * Where replicas announce themselves and operators send and read routing documents, over HTTP.
+ * The controller's HTTP server: replicas announce themselves to it, and operators write and read routing documents.
  *
- * The words of these calls are a dialect's; what they mean is decided here. An answer that can't be given for sure within the
- * time that callers wait is a 503, which sends them to another controller: an acknowledgement is given only for what a
- * majority has on disk, and a read only for what is known to be the newest.
+ * The dialect defines the format of the calls; their semantics are defined here. A write is acknowledged only once a majority of
+ * controllers has it on disk, and a read returns only what is known to be the newest version. If that can't be guaranteed within the time
+ * that callers wait, the response is a 503, upon which callers try another controller.
  */
 #pragma once
 
@@ -18,20 +18,20 @@
 
 namespace wrenhinge {
 
-/// A call to the door, decoded.
+/// Stores a routing document.
 struct PutDocument {
     RoutingDocument document;
-    std::string text; ///< As it was sent: it is read back like that.
+    std::string text; ///< As received; reads return it unchanged.
 };
 struct GetDocument { };
-/// A replica leaves for good.
+/// A replica withdraws permanently.
 struct ReplicaWithdrawal {
     std::string id;
-    std::optional<ReplicaStart> start; ///< Of the run that leaves, if it says.
+    std::optional<ReplicaStart> start; ///< Start of the run that withdraws, if stated.
 };
 using ControlCall = std::variant<Announcement, ReplicaWithdrawal, PutDocument, GetDocument>;
 
-/// The words in which a platform speaks to the door.
+/// The format of the calls and responses, which depends on the platform.
 template <typename D>
 concept ControlDialect = requires(const HttpRequest& request, const Error& error, const std::string& text)
 {
@@ -48,15 +48,15 @@
 
 template <ControlDialect Dialect> class ControlServer {
 public:
-    /// Callers wait a second for an answer; a proposal or a read is tried again until then, as an election may be under way.
+    /// Callers wait a second for a response. A proposal or a read is retried until this timeout, as an election may be in progress.
     static constexpr Duration responseTimeout = 850ms;
-    /// Time added for each byte of a document: callers wait longer for a large one, and its replication takes longer.
+    /// Added to the timeout for each byte of a document: callers wait longer for a large one, and its replication takes longer.
     static constexpr double microsPerByte = 5;
     static constexpr Duration retryInterval = 60ms;
-    /// A controller that lags behind the leader makes its change against a version that the leader has replaced. It has caught up by the
-    /// next heartbeat, after 120 ms at most, unless changes come faster than that; then the whole text is sent.
+    /// A controller that lags behind the leader sends a change against a version that the leader has replaced. It catches up with the
+    /// next heartbeat, after at most 120 ms, unless changes are more frequent than that. After this many attempts the whole text is sent.
     static constexpr int maxDeltaAttempts = 3;
-    /// A replica's announcement of a kept connection comes every second or so.
+    /// On a kept-alive connection, a replica announces itself about once a second.
     static constexpr Duration idleTime = 10s;
 
     explicit ControlServer(ControllerRole& role)
@@ -75,12 +75,12 @@
 private:
     static constexpr std::size_t bodyLimit = 16u << 20;
 
-    /// A proposal or a read on its way, tried until it succeeds or its time is over.
-    struct Pending {
+    /// A pending proposal or read, retried until it succeeds or times out.
+    struct PendingCall {
         std::shared_ptr<HttpAnswer> answer;
-        std::function<void(ControllerRole::ReplyCallback)> ask;
+        std::function<void(ControllerRole::ReplyCallback)> send;
         std::function<std::string(const ProposeReply&)> body;
-        Instant endsAt;
+        Instant deadline;
         bool isAnswered = false;
         boost::asio::steady_timer timer;
     };
@@ -91,16 +91,17 @@
         if (!call)
             return refuse(*answer, request, call.error());
         if (const auto* announcement = std::get_if<Announcement>(&call.value())) {
-            if (auto full = m_limits.checkCapacity(m_role.registrar().registry(), *announcement, currentInstant()))
-                return refuse(*answer, request, *full);
+            if (auto limitReached = m_limits.checkCapacity(m_role.registrar().registry(), *announcement, currentInstant()))
+                return refuse(*answer, request, *limitReached);
             m_role.registrar().announce(*announcement);
             answer->reply(200, jsonHeaders(), Dialect::announcementReply());
-        } else if (const auto* leaves = std::get_if<ReplicaWithdrawal>(&call.value())) {
-            if (auto full = RegistryLimits::checkCapacity(m_role.registrar().registry(), leaves->id))
-                return refuse(*answer, request, *full);
-            // An acknowledgement promises that nobody is sent to the replica: another controller may know it and can give that.
-            if (!m_role.registrar().withdraw(leaves->id, leaves->start))
-                return reply(*answer, { ResultCode::NoUpstream, "no run of this replica is known here" });
+        } else if (const auto* withdrawal = std::get_if<ReplicaWithdrawal>(&call.value())) {
+            if (auto limitReached = RegistryLimits::checkCapacity(m_role.registrar().registry(), withdrawal->id))
+                return refuse(*answer, request, *limitReached);
+            // The acknowledgement guarantees that the replica receives no more requests. Another controller may know the run and can
+            // guarantee that.
+            if (!m_role.registrar().withdraw(withdrawal->id, withdrawal->start))
+                return reply(*answer, { ResultCode::NoUpstream, "this controller knows no run of this replica" });
             answer->reply(200, jsonHeaders(), Dialect::announcementReply());
         } else if (auto* put = std::get_if<PutDocument>(&call.value())) {
             propose(std::move(*put), std::move(answer));
@@ -114,44 +115,44 @@
 
     void propose(PutDocument put, std::shared_ptr<HttpAnswer> answer)
     {
-        auto limit = responseTimeout + fromSeconds(static_cast<double>(put.text.size()) * microsPerByte / 1e6);
+        auto timeout = responseTimeout + fromSeconds(static_cast<double>(put.text.size()) * microsPerByte / 1e6);
         DocumentCommand command { put.document.version, std::move(put.text) };
-        auto ask = [this, command = std::move(command), tries = 0](ControllerRole::ReplyCallback done) mutable {
-            m_role.propose(command, std::move(done), ++tries > maxDeltaAttempts);
+        auto send = [this, command = std::move(command), attempts = 0](ControllerRole::ReplyCallback done) mutable {
+            m_role.propose(command, std::move(done), ++attempts > maxDeltaAttempts);
         };
         start(
-            std::move(answer), std::move(ask), [](const ProposeReply&) { return std::string("{}"); }, limit);
+            std::move(answer), std::move(send), [](const ProposeReply&) { return std::string("{}"); }, timeout);
     }
 
-    void start(std::shared_ptr<HttpAnswer> answer, std::function<void(ControllerRole::ReplyCallback)> ask,
-        std::function<std::string(const ProposeReply&)> body, Duration limit)
+    void start(std::shared_ptr<HttpAnswer> answer, std::function<void(ControllerRole::ReplyCallback)> send,
+        std::function<std::string(const ProposeReply&)> body, Duration timeout)
     {
-        auto pending = std::shared_ptr<Pending>(new Pending { std::move(answer), std::move(ask), std::move(body), currentInstant() + limit,
-            false, boost::asio::steady_timer(m_role.strand(), limit) });
+        auto pending = std::shared_ptr<PendingCall>(new PendingCall { std::move(answer), std::move(send), std::move(body),
+            currentInstant() + timeout, false, boost::asio::steady_timer(m_role.strand(), timeout) });
         pending->timer.async_wait([this, pending](ErrorCode ec) {
             if (!ec)
-                conclude(*pending, unavailable("no majority of controllers has confirmed it in time"));
+                finish(*pending, unavailable("timed out waiting for a majority of controllers"));
         });
-        submit(pending);
+        attempt(pending);
     }
 
-    void submit(const std::shared_ptr<Pending>& pending)
+    void attempt(const std::shared_ptr<PendingCall>& pending)
     {
-        pending->ask([this, pending](ProposeReply reply) {
-            boost::asio::post(m_role.strand(), [this, pending, reply = std::move(reply)] { answered(pending, reply); });
+        pending->send([this, pending](ProposeReply reply) {
+            boost::asio::post(m_role.strand(), [this, pending, reply = std::move(reply)] { onReply(pending, reply); });
         });
     }
 
-    void answered(const std::shared_ptr<Pending>& pending, const ProposeReply& reply)
+    void onReply(const std::shared_ptr<PendingCall>& pending, const ProposeReply& reply)
     {
         if (pending->isAnswered)
             return;
-        if (reply.code != ResultCode::ConfigUnavailable || currentInstant() + retryInterval >= pending->endsAt)
-            return conclude(*pending, reply);
+        if (reply.code != ResultCode::ConfigUnavailable || currentInstant() + retryInterval >= pending->deadline)
+            return finish(*pending, reply);
         auto timer = std::make_shared<boost::asio::steady_timer>(m_role.strand(), retryInterval);
         timer->async_wait([this, pending, timer](ErrorCode ec) {
             if (!ec && !pending->isAnswered)
-                submit(pending);
+                attempt(pending);
         });
     }
 
@@ -163,7 +164,7 @@
         return reply;
     }
 
-    void conclude(Pending& pending, const ProposeReply& outcome)
+    void finish(PendingCall& pending, const ProposeReply& outcome)
     {
         if (std::exchange(pending.isAnswered, true))
             return;
@@ -176,7 +177,7 @@
         pending.answer->reply(200, jsonHeaders(), std::move(body));
     }
 
-    static InputSource doorOf(ResultCode code)
+    static InputSource sourceOf(ResultCode code)
     {
         if (code == ResultCode::BadConfiguration)
             return InputSource::Document;
@@ -185,7 +186,7 @@
 
     void refuse(HttpAnswer& answer, const HttpRequest& request, const Error& error)
     {
-        m_role.refusals().note(doorOf(error.code), request.method + " " + request.target, error.message);
+        m_role.refusals().note(sourceOf(error.code), request.method + " " + request.target, error.message);
         reply(answer, error);
     }
 
--- a/src/process/ControllerRole.cpp
+++ b/src/process/ControllerRole.cpp
@@ -11,10 +11,10 @@
 
     using Json = nlohmann::json;
 
-    constexpr Duration proposalLimit = 5s;
-    /// How long to wait before a disk that refused a write is tried again. A full or failing disk must not end the process:
-    /// it would be restarted into the same trouble, and the announcements that it takes need no disk.
-    constexpr Duration storageRetry = 300ms;
+    constexpr Duration proposalTimeout = 5s;
+    /// Delay before storage is reopened after a failed write. A full or failing disk must not end the process: it would fail again after
+    /// its restart, and the announcements that it receives need no disk.
+    constexpr Duration storageRetryInterval = 300ms;
 
     raft::Settings raftSettings(const Settings& settings, DiskId disk)
     {
@@ -28,13 +28,14 @@
         for (const auto& member : controller.members)
             raft.members.push_back(member.name);
         bool isFounder = std::find(controller.seeds.begin(), controller.seeds.end(), raft.self) != controller.seeds.end();
-        // Who keeps nothing founds nothing: it would vote again for others after a restart.
+        // A controller without a disk can't found a cluster: after a restart it would not know its vote and could vote for another
+        // candidate in the same term.
         bool keepsLog = disk != DiskId();
         if (raft.isDynamic && raft.isNewCluster && isFounder && keepsLog)
             raft.members = controller.seeds;
         else if (raft.isDynamic)
             raft.isNewCluster = false;
-        // The founders' list is an entry of the log, the same one at each.
+        // The list of founders is an entry of the log, which must be identical at all of them.
         std::sort(raft.members.begin(), raft.members.end());
         raft.disk = disk;
         raft.electionTimeout = controller.electionTimeout;
@@ -60,11 +61,11 @@
             command.puts = json.value("puts", std::map<std::string, std::string>());
             command.removes = json.value("removes", std::vector<std::string>());
             if (command.changeId.empty())
-                return Error { ResultCode::BadConfiguration, "`change_id` is empty; give the change an id of its own" };
+                return Error { ResultCode::BadConfiguration, "`change_id` is empty; set it to a unique id for this change" };
             return command;
         } catch (const Json::exception& e) {
             return Error { ResultCode::BadConfiguration,
-                std::string("the change is not `number`, `change_id`, `puts`, `removes` in JSON: ") + e.what() };
+                std::string("invalid change; expected JSON with `number`, `change_id`, `puts` and `removes`: ") + e.what() };
         }
     }
 
@@ -80,15 +81,15 @@
           { [this](const Hello& peer) { onPeerUp(peer); },
               [this](PeerId peer) {
                   m_registrar.peerDown(peer);
-                  m_quotas.peerDown(peer);
+                  m_quotaRelay.peerDown(peer);
                   post(controller::PeerDown { peer });
               },
               [this](PeerId peer, Message&& message) { onMessage(peer, std::move(message)); },
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
               runtime.refusals().linkHandler() })
     , m_registrar(m_strand, m_hub, runtime.log())
-    , m_crashes(m_strand, m_hub, runtime.log(), m_registrar.registry())
-    , m_quotas(m_strand, m_hub)
+    , m_crashRelay(m_strand, m_hub, runtime.log(), m_registrar.registry())
+    , m_quotaRelay(m_strand, m_hub)
     , m_pages(settings, runtime,
           { [this] {
                std::lock_guard lock(m_logicMutex);
@@ -110,11 +111,12 @@
     if (!recovered)
         return recovered.error();
     if (m_storage.truncatedBytes())
-        m_runtime.log().write({ EventCode::LogTailCut, {}, std::to_string(m_storage.truncatedBytes()) + " bytes of an unfinished write" });
+        m_runtime.log().write(
+            { EventCode::LogTailCut, {}, std::to_string(m_storage.truncatedBytes()) + " bytes of an incomplete write truncated" });
     m_logic = std::make_unique<ControllerLogic>(raftSettings(m_settings, m_storage.disk()), std::move(recovered.value()), currentInstant());
     startRegistrar();
     startCrashRelay();
-    m_quotas.start();
+    m_quotaRelay.start();
     auto adminAddress = m_adminServer.start(m_settings.admin, [this](const AdminRequest& request) { return admin(request); });
     if (!adminAddress)
         return adminAddress.error();
@@ -125,7 +127,7 @@
         return peers.error();
     for (const auto& seed : m_settings.controller.seeds)
         m_hub.dial(seed);
-    // Of each pair one dials: the one whose name comes first.
+    // In each pair of controllers, the one whose name sorts first connects to the other.
     for (const auto& member : m_settings.controller.members) {
         if (m_settings.name < member.name)
             m_hub.dial(member.address);
@@ -134,7 +136,7 @@
     return Json { { "admin", adminAddress.value() }, { "peers", peers.value() } };
 }
 
-/// What the disk holds; nothing without one.
+/// Returns the state stored on disk; empty if the controller has no disk.
 Result<raft::Recovered> ControllerRole::recoverLog()
 {
     if (!hasDisk())
@@ -142,27 +144,27 @@
     return m_storage.open(m_settings.controller.data, DiskId(randomIdentity()));
 }
 
-/// Before anything listens, so that no announcement comes earlier than what is remembered.
+/// Called before the process listens, so that the stored replicas are loaded before the first announcement arrives.
 void ControllerRole::startRegistrar()
 {
-    std::vector<Announcement> remembered;
+    std::vector<Announcement> restored;
     if (isDynamic() && hasDisk()) {
-        m_replicaMemory.emplace(m_settings.controller.data, m_runtime.log(), m_runtime.refusals());
-        m_registrar.onChange = [this](std::vector<Announcement> list) { m_replicaMemory->save(std::move(list)); };
-        remembered = m_replicaMemory->load();
+        m_persistedReplicas.emplace(m_settings.controller.data, m_runtime.log(), m_runtime.refusals());
+        m_registrar.onChange = [this](std::vector<Announcement> list) { m_persistedReplicas->save(std::move(list)); };
+        restored = m_persistedReplicas->load();
     }
-    boost::asio::post(m_strand, [this, remembered = std::move(remembered)] { m_registrar.start(remembered); });
+    boost::asio::post(m_strand, [this, restored = std::move(restored)] { m_registrar.start(restored); });
 }
 
 void ControllerRole::startCrashRelay()
 {
-    std::vector<ReplicaCrash> remembered;
+    std::vector<ReplicaCrash> restored;
     if (hasDisk()) {
-        m_crashMemory.emplace(m_settings.controller.data, m_runtime.log(), m_runtime.refusals());
-        m_crashes.onChange = [this](std::vector<ReplicaCrash> list) { m_crashMemory->save(std::move(list)); };
-        remembered = m_crashMemory->load();
+        m_persistedCrashes.emplace(m_settings.controller.data, m_runtime.log(), m_runtime.refusals());
+        m_crashRelay.onChange = [this](std::vector<ReplicaCrash> list) { m_persistedCrashes->save(std::move(list)); };
+        restored = m_persistedCrashes->load();
     }
-    m_crashes.start(std::move(remembered));
+    m_crashRelay.start(std::move(restored));
 }
 
 void ControllerRole::drain()
@@ -182,19 +184,19 @@
 {
     post(controller::PeerUp { peer });
     m_registrar.peerUp(peer);
-    m_crashes.peerUp(peer);
-    m_quotas.peerUp(peer);
+    m_crashRelay.peerUp(peer);
+    m_quotaRelay.peerUp(peer);
     if (!isDynamic())
         return;
-    tellRoster(peer.id);
+    sendRoster(peer.id);
     if (peer.role != Role::Controller)
         return;
     for (const auto& other : m_hub.peers())
-        tellRoster(other.id);
+        sendRoster(other.id);
 }
 
-/// Nobody is told where all controllers are: each tells its links of the others, so that one seed that answers is enough.
-void ControllerRole::tellRoster(PeerId to)
+/// No setting lists all controllers. Each one sends its peers the addresses of the others, so that one reachable seed suffices.
+void ControllerRole::sendRoster(PeerId to)
 {
     ControllerRoster roster { { m_settings.listen } };
     for (const auto& peer : m_hub.peers()) {
@@ -209,9 +211,9 @@
     if (isForRegistrar(message))
         return m_registrar.receive(peer, message);
     if (const auto* crashes = std::get_if<CrashReport>(&message))
-        return m_crashes.receive(peer, *crashes);
+        return m_crashRelay.receive(peer, *crashes);
     if (auto* use = std::get_if<QuotaReport>(&message))
-        return m_quotas.receive(peer, std::move(*use));
+        return m_quotaRelay.receive(peer, std::move(*use));
     if (const auto* load = std::get_if<EngineLoadReport>(&message)) {
         if (onEngineLoad)
             onEngineLoad(peer, *load);
@@ -225,7 +227,7 @@
     post(controller::PeerMessage { peer, std::move(message) });
 }
 
-// --- The loop ---------------------------------------------------------------------------------------------------
+// --- Event loop ---------------------------------------------------------------------------------------------------
 
 void ControllerRole::post(controller::Event event)
 {
@@ -241,7 +243,7 @@
     {
         std::lock_guard lock(m_logicMutex);
         auto effects = m_logic->start();
-        if (!carry(effects) && !reopenStorage())
+        if (!execute(effects) && !reopenStorage())
             return;
     }
     for (;;) {
@@ -265,33 +267,34 @@
             batch.push_back(controller::Tick {});
         auto effects = m_logic->step(batch, now);
         m_leadingTerm = m_logic->raft().isLeader() ? m_logic->raft().term() : 0;
-        if (!carry(effects) && !reopenStorage())
+        if (!execute(effects) && !reopenStorage())
             return;
     }
 }
 
-/// What could not be stored was told to nobody; the logic has counted on it, though, and is made anew from what is on the disk.
+/// Recreates the logic from the state on disk after a failed write. Nothing that depends on the unwritten records was sent, but the logic
+/// has already applied them.
 /// \returns false if the process is to stop.
 bool ControllerRole::reopenStorage()
 {
     for (bool isFirst = true;; isFirst = false) {
         {
             std::unique_lock lock(m_queueMutex);
-            if (m_wake.wait_for(lock, storageRetry, [this] { return m_isStopping; }))
+            if (m_wake.wait_for(lock, storageRetryInterval, [this] { return m_isStopping; }))
                 return false;
             m_queue.clear();
         }
-        // What waited in the queue has waiting callers, and a proposal's hold its whole text.
-        refuseTickets();
+        // The discarded events have waiting callers, and the callback of a proposal holds its whole text.
+        failPendingReplies();
         auto recovered = recoverLog();
         if (isFirst || recovered)
-            m_runtime.log().write({ EventCode::StorageReopened, {}, recovered ? "read again" : recovered.error().message });
+            m_runtime.log().write({ EventCode::StorageReopened, {}, recovered ? "storage reopened" : recovered.error().message });
         if (!recovered)
             continue;
         m_logic
             = std::make_unique<ControllerLogic>(raftSettings(m_settings, m_storage.disk()), std::move(recovered.value()), currentInstant());
         auto effects = m_logic->start();
-        if (!carry(effects))
+        if (!execute(effects))
             continue;
         for (const auto& peer : m_hub.peers())
             post(controller::PeerUp { peer });
@@ -317,16 +320,16 @@
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-/// Carries a batch's effects out: first all records with one sync, then the rest in order.
-bool ControllerRole::carry(ControllerLogic::Effects& effects)
+/// Executes a batch's effects: first stores all records with one sync, then executes the rest in order.
+bool ControllerRole::execute(ControllerLogic::Effects& effects)
 {
     Result<void> stored = BOOST_OUTCOME_V2_NAMESPACE::success();
     if (hasDisk())
         stored = store(effects);
     if (!stored) {
-        // What could not be stored must never be told to anyone: stop here, before any message leaves.
+        // State that was not stored must not be sent: stop before any message is sent.
         m_runtime.log().write({ EventCode::StorageReopened, {}, std::string(nameOf(stored.error().code)) + ": " + stored.error().message });
-        refuseTickets();
+        failPendingReplies();
         return false;
     }
     for (auto& effect : effects) {
@@ -343,46 +346,46 @@
 
 void ControllerRole::answer(std::uint64_t ticket, ProposeReply reply)
 {
-    ReplyCallback answered;
+    ReplyCallback callback;
     {
         std::lock_guard lock(m_queueMutex);
         auto it = m_tickets.find(ticket);
         if (it == m_tickets.end())
             return;
-        answered = std::move(it->second);
+        callback = std::move(it->second);
         m_tickets.erase(it);
     }
-    answered(std::move(reply));
+    callback(std::move(reply));
 }
 
-void ControllerRole::refuseTickets()
+void ControllerRole::failPendingReplies()
 {
     std::map<std::uint64_t, ReplyCallback> tickets;
     {
         std::lock_guard lock(m_queueMutex);
         tickets = std::exchange(m_tickets, {});
     }
-    for (auto& [ticket, answered] : tickets) {
+    for (auto& [ticket, callback] : tickets) {
         ProposeReply reply;
         reply.code = ResultCode::ConfigUnavailable;
-        reply.text = "this controller's disk refuses writes; ask another one";
-        answered(std::move(reply));
+        reply.text = "writing to this controller's disk failed; try another controller";
+        callback(std::move(reply));
     }
 }
 
-std::uint64_t ControllerRole::newTicket(ReplyCallback answered)
+std::uint64_t ControllerRole::newTicket(ReplyCallback callback)
 {
     std::lock_guard lock(m_queueMutex);
-    m_tickets[++m_lastTicket] = std::move(answered);
+    m_tickets[++m_lastTicket] = std::move(callback);
     return m_lastTicket;
 }
 
-void ControllerRole::propose(Command command, ReplyCallback answered, bool sendsWholeText)
+void ControllerRole::propose(Command command, ReplyCallback callback, bool sendsWholeText)
 {
-    post(controller::LocalPropose { newTicket(std::move(answered)), std::move(command), sendsWholeText });
+    post(controller::LocalPropose { newTicket(std::move(callback)), std::move(command), sendsWholeText });
 }
 
-void ControllerRole::readDocument(ReplyCallback answered) { post(controller::LocalRead { newTicket(std::move(answered)) }); }
+void ControllerRole::readDocument(ReplyCallback callback) { post(controller::LocalRead { newTicket(std::move(callback)) }); }
 
 void ControllerRole::stopLoop()
 {
@@ -412,7 +415,7 @@
     if (request.path == "/config/history")
         return AdminPages::json(history());
     if (request.path == "/config/status")
-        return AdminPages::json(inForce());
+        return AdminPages::json(configStatus());
     if (request.path == "/metrics")
         return { 200, "text/plain; version=0.0.4", metrics() };
     return AdminPages::notFound(request.path);
@@ -440,11 +443,11 @@
 
 ProposeReply ControllerRole::proposeAndWait(Command command)
 {
-    // Shared with the callback, which may come after this call has given up.
+    // Shared with the callback, which may be called after this call has timed out.
     auto promise = std::make_shared<std::promise<ProposeReply>>();
     auto future = promise->get_future();
     propose(std::move(command), [promise](ProposeReply reply) { promise->set_value(std::move(reply)); });
-    if (future.wait_for(proposalLimit) == std::future_status::ready)
+    if (future.wait_for(proposalTimeout) == std::future_status::ready)
         return future.get();
     ProposeReply reply;
     reply.code = ResultCode::ConfigUnavailable;
@@ -452,7 +455,8 @@
     return reply;
 }
 
-/// What a controller's memory goes to stands beside its log: documents are the largest things that it holds, sends and stores.
+/// Contains the sizes of documents and queues besides the log's state: documents are the largest data that a controller holds, sends and
+/// stores, and account for most of its memory.
 std::string ControllerRole::metrics() const
 {
     auto queued = m_hub.queuedBytes();
@@ -497,7 +501,7 @@
     return list;
 }
 
-Json ControllerRole::inForce() const
+Json ControllerRole::configStatus() const
 {
     std::lock_guard lock(m_logicMutex);
     auto now = currentInstant();
--- a/src/process/ControllerRole.h
+++ b/src/process/ControllerRole.h
@@ -1,8 +1,8 @@
 /** \file
- * The controller as a process: ControllerLogic on a thread of its own, since each batch of events ends on the disk.
+ * The controller process: runs ControllerLogic on a dedicated thread, since each batch of events ends with a write to disk.
  *
- * Events queue up while the disk is busy; the next batch takes them all, writes their records with one sync, and only
- * then sends any message that tells of them.
+ * Events are queued while the disk is busy. The next batch processes all of them, writes their records with one sync, and only then sends
+ * the messages that depend on those records.
  */
 #pragma once
 
@@ -30,30 +30,30 @@
     ControllerRole(const Settings&, Runtime&);
     ~ControllerRole();
 
-    /// How the answer to a proposal or a read comes back, on the controller's own thread.
+    /// Receives the reply to a proposal or a read, on the controller's thread.
     using ReplyCallback = std::function<void(ProposeReply)>;
 
     Result<nlohmann::json> start();
     void drain();
     void reload(const Settings&) { }
 
-    /// Has a command committed, through another controller if that one leads. Any thread. \param sendsWholeText see LocalPropose.
+    /// Proposes a command, through another controller if that is the leader. Thread-safe. \param sendsWholeText see LocalPropose.
     void propose(Command, ReplyCallback, bool sendsWholeText = false);
-    /// Reads the routing document linearizably: the reply has its version and text. Any thread.
+    /// Reads the routing document linearizably: the reply contains its version and text. Thread-safe.
     void readDocument(ReplyCallback);
-    /// For the replicas' announcements; on the strand of `strand()`.
+    /// Handles the replicas' announcements; call it on `strand()` only.
     Registrar& registrar() { return m_registrar; }
     RefusalLog& refusals() { return m_runtime.refusals(); }
     [[nodiscard]] const Strand& strand() const { return m_strand; }
-    /// The term in which this controller leads, or zero, as of the last batch of events. Any thread.
+    /// The term in which this controller is the leader, or zero, as of the last batch of events. Thread-safe.
     [[nodiscard]] std::uint64_t leadingTerm() const { return m_leadingTerm; }
-    /// Takes what gateways tell of the engines' load; set before `start`. Called on any thread.
+    /// Called with the engine loads that gateways report, on any thread. Set it before `start`.
     std::function<void(PeerId, const EngineLoadReport&)> onEngineLoad;
 
 private:
     void post(controller::Event);
     void loop();
-    bool carry(ControllerLogic::Effects&);
+    bool execute(ControllerLogic::Effects&);
     Result<void> store(const ControllerLogic::Effects&);
     Result<raft::Recovered> recoverLog();
     bool reopenStorage();
@@ -61,12 +61,12 @@
     void onMessage(PeerId, Message&&);
     void startRegistrar();
     void startCrashRelay();
-    void tellRoster(PeerId);
+    void sendRoster(PeerId);
     [[nodiscard]] bool isDynamic() const { return !m_settings.controller.seeds.empty(); }
     [[nodiscard]] bool hasDisk() const { return !m_settings.controller.data.empty(); }
     std::uint64_t newTicket(ReplyCallback);
     void answer(std::uint64_t ticket, ProposeReply);
-    void refuseTickets();
+    void failPendingReplies();
     void stopLoop();
     AdminReply admin(const AdminRequest&);
     AdminReply applyConfig(const AdminRequest&);
@@ -74,7 +74,7 @@
     [[nodiscard]] nlohmann::json status() const;
     [[nodiscard]] std::string metrics() const;
     [[nodiscard]] nlohmann::json history() const;
-    [[nodiscard]] nlohmann::json inForce() const;
+    [[nodiscard]] nlohmann::json configStatus() const;
 
     Settings m_settings;
     Runtime& m_runtime;
@@ -82,19 +82,19 @@
     Strand m_strand;
     PeerHub m_hub;
     Registrar m_registrar;
-    CrashRelay m_crashes;
-    QuotaRelay m_quotas;
-    std::optional<PersistedReplicas> m_replicaMemory; ///< From `start` on.
-    std::optional<PersistedCrashes> m_crashMemory; ///< The same.
+    CrashRelay m_crashRelay;
+    QuotaRelay m_quotaRelay;
+    std::optional<PersistedReplicas> m_persistedReplicas; ///< Set by `start`.
+    std::optional<PersistedCrashes> m_persistedCrashes; ///< Set by `start`.
     AdminPages m_pages;
     AdminServer m_adminServer;
     std::thread m_thread;
 
-    mutable std::mutex m_logicMutex; ///< Guards m_logic; taken before m_queueMutex, never after it.
+    mutable std::mutex m_logicMutex; ///< Guards m_logic; locked before m_queueMutex, never after it.
     std::unique_ptr<ControllerLogic> m_logic;
-    std::atomic<std::uint64_t> m_leadingTerm = 0; ///< Beside the lock, which is held while the disk is busy.
+    std::atomic<std::uint64_t> m_leadingTerm = 0; ///< Atomic, as m_logicMutex is held while the disk is busy.
 
-    std::mutex m_queueMutex; ///< Guards what follows.
+    std::mutex m_queueMutex; ///< Guards the members below.
     std::condition_variable m_wake;
     std::vector<controller::Event> m_queue;
     std::map<std::uint64_t, ReplyCallback> m_tickets;
--- a/src/process/CrashRelay.cpp
+++ b/src/process/CrashRelay.cpp
@@ -13,10 +13,10 @@
 {
 }
 
-void CrashRelay::start(std::vector<ReplicaCrash> remembered)
+void CrashRelay::start(std::vector<ReplicaCrash> restored)
 {
-    boost::asio::post(m_strand, [this, remembered = std::move(remembered)] {
-        m_exchange.take(CrashReport { remembered, {} }, currentInstant());
+    boost::asio::post(m_strand, [this, restored = std::move(restored)] {
+        m_exchange.take(CrashReport { restored, {} }, currentInstant());
         check();
     });
 }
@@ -34,29 +34,29 @@
 void CrashRelay::peerUp(const Hello& peer)
 {
     if (peer.role != Role::Sidecar)
-        boost::asio::post(m_strand, [this, id = peer.id, role = peer.role] { tell(id, m_exchange.snapshotFor(role, currentInstant())); });
+        boost::asio::post(m_strand, [this, id = peer.id, role = peer.role] { send(id, m_exchange.snapshotFor(role, currentInstant())); });
 }
 
 void CrashRelay::receive(PeerId peer, const CrashReport& report)
 {
-    boost::asio::post(m_strand, [this, peer, report] { take(peer, report); });
+    boost::asio::post(m_strand, [this, peer, report] { handle(peer, report); });
 }
 
-void CrashRelay::take(PeerId from, const CrashReport& report)
+void CrashRelay::handle(PeerId from, const CrashReport& report)
 {
     auto now = currentInstant();
-    auto told = m_exchange.take(report, now);
-    if (onChange && !told.gateways.isEmpty())
+    auto updates = m_exchange.take(report, now);
+    if (onChange && !updates.gateways.isEmpty())
         onChange(m_exchange.snapshotFor(Role::Gateway, now).crashes);
-    for (const auto& request : told.refused)
+    for (const auto& request : updates.refused)
         m_log.write({ EventCode::RequestCrashesReplicas, {}, m_exchange.tracker().text(request) });
     for (const auto& peer : m_hub.peers()) {
         if (peer.id != from && peer.role != Role::Sidecar)
-            tell(peer.id, peer.role == Role::Controller ? told.controllers : told.gateways);
+            send(peer.id, peer.role == Role::Controller ? updates.controllers : updates.gateways);
     }
 }
 
-void CrashRelay::tell(PeerId peer, const CrashReport& report)
+void CrashRelay::send(PeerId peer, const CrashReport& report)
 {
     if (!report.isEmpty())
         m_hub.send(peer, report);
--- a/src/process/CrashRelay.h
+++ b/src/process/CrashRelay.h
@@ -1,7 +1,7 @@
 /** \file
- * Carries a controller's CrashExchange out: between its links and the replicas' announcements.
+ * Runs a controller's CrashExchange: connects it to the links to other processes and to the replicas' announcements.
  *
- * Runs on the strand that it is given, which is the registrar's.
+ * Runs on the strand passed to it, which is the registrar's.
  */
 #pragma once
 
@@ -15,23 +15,23 @@
 
 class CrashRelay {
 public:
-    /// What the announcements have refuted is dropped this often.
+    /// Interval at which crashes that announcements have refuted are removed.
     static constexpr Duration checkInterval = 1s;
 
-    /// \param registry of the replicas that announce themselves; used on the strand alone.
+    /// \param registry of the replicas that announce themselves; accessed only on the strand.
     CrashRelay(Strand, PeerHub&, EventLog&, const ReplicaRegistry& registry);
 
-    /// \param remembered what was known before this process started.
-    void start(std::vector<ReplicaCrash> remembered);
-    /// Called with all that gateways should know whenever that has changed; set before `start`.
+    /// \param restored crashes known before this process started.
+    void start(std::vector<ReplicaCrash> restored);
+    /// Called with all crashes that gateways should know, whenever these have changed. Set it before `start`.
     std::function<void(std::vector<ReplicaCrash>)> onChange;
-    // From links. Any thread.
+    // Events of the links. Thread-safe.
     void peerUp(const Hello&);
     void receive(PeerId, const CrashReport&);
 
 private:
-    void take(PeerId, const CrashReport&);
-    void tell(PeerId, const CrashReport&);
+    void handle(PeerId, const CrashReport&);
+    void send(PeerId, const CrashReport&);
     void check();
 
     Strand m_strand;
--- a/src/process/EngineSidecarRole.h
+++ b/src/process/EngineSidecarRole.h
@@ -1,6 +1,6 @@
 /** \file
- * The sidecar beside an engine that gateways call themselves, as a process: EngineAdmission between the engine's reports and links to
- * gateways, which dial it. No request passes through it.
+ * The sidecar process of an engine that gateways call directly: runs EngineAdmission on the engine's reports and the messages of gateways,
+ * which connect to the sidecar. No requests pass through it.
  */
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace wrenhinge {
 
-/// The words in which an engine is asked for its memory.
+/// The format of the calls that read an engine's memory use.
 template <typename D>
 concept EngineReportDialect = requires(const std::string& address, const GatheredAnswer& answer)
 {
@@ -43,7 +43,7 @@
                   [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); }, runtime.refusals().linkHandler() })
         , m_pool(m_strand)
         , m_driver(
-              runtime.timers(), [this](admission::Effect& effect) { std::visit([this](auto& e) { carry(e); }, effect); },
+              runtime.timers(), [this](admission::Effect& effect) { std::visit([this](auto& e) { execute(e); }, effect); },
               admission::Tick {}, EngineAdmission::Settings { settings.engine.address, settings.engine.spareDeviations })
         , m_pages(settings, runtime, { [] { return true; }, [this] { return m_hub.peers(); } })
     {
@@ -63,11 +63,11 @@
         return nlohmann::json { { "admin", admin.value() }, { "links", links.value() } };
     }
 
-    /// Gateways go on without this process, so nothing is waited for.
+    /// Stops immediately, as gateways continue without this process.
     void drain()
     {
         m_hub.stop();
-        m_runtime.log().write({ EventCode::ProcessStopped, {}, "the engine goes on" });
+        m_runtime.log().write({ EventCode::ProcessStopped, {}, "stopped; the engine continues to run" });
         m_runtime.finish(0);
     }
 
@@ -84,17 +84,18 @@
             m_driver.post(admission::PrefillReported { peer, *notice });
     }
 
-    void carry(admission::Send& tell) { m_hub.send(tell.to, tell.message); }
+    void execute(admission::Send& send) { m_hub.send(send.to, send.message); }
 
-    void carry(admission::ReadEngine& read)
+    void execute(admission::ReadEngine& read)
     {
         boost::asio::post(m_strand, [this, number = read.number] {
-            // A call that was given up would come back on its connection to the next one.
+            // Without this, the response to an abandoned call could be taken for that of the next call on its connection.
             UpstreamPool::cancel(std::exchange(m_call, {}));
             auto onEnd = [this, number](const GatheredAnswer& answer) {
                 auto report = Dialect::engineReport(answer);
                 if (!report && answer.head.status == 200)
-                    m_runtime.refusals().note(InputSource::Report, m_settings.engine.address, "its report lacks its memory or what runs");
+                    m_runtime.refusals().note(
+                        InputSource::Report, m_settings.engine.address, "the report lacks the memory use or the running requests");
                 m_driver.post(admission::EngineRead { number, std::move(report) });
             };
             auto onFailure = [this, number](bool, const std::string&) { m_driver.post(admission::EngineRead { number, std::nullopt }); };
@@ -103,7 +104,7 @@
         });
     }
 
-    void carry(LogEvent& note) { m_runtime.log().write(note); }
+    void execute(LogEvent& event) { m_runtime.log().write(event); }
 
     AdminReply answerAdmin(const AdminRequest& request)
     {
@@ -130,10 +131,10 @@
     Strand m_strand;
     PeerHub m_hub;
     UpstreamPool m_pool;
-    UpstreamPool::Call m_call; ///< The newest read; only on the strand.
+    UpstreamPool::Call m_call; ///< The latest read; accessed only on the strand.
     LogicDriver<EngineAdmission, admission::Event, admission::Effect> m_driver;
     AdminPages m_pages;
-    AdminServer m_adminServer; ///< Last: its threads look at everything above.
+    AdminServer m_adminServer; ///< Last, as its threads access the members above.
 };
 
 } // namespace wrenhinge
--- a/src/process/PersistedList.cpp
+++ b/src/process/PersistedList.cpp
@@ -46,13 +46,13 @@
     auto list = bytes ? read(bytes.value(), refuse) : std::nullopt;
     if (list)
         return std::move(*list);
-    // The next save replaces it.
-    m_log.write({ EventCode::ReplicasForgotten, {}, bytes ? path + " is damaged" : bytes.error().message });
+    // The next save replaces the file.
+    m_log.write({ EventCode::ReplicasForgotten, {}, bytes ? path + " is corrupt" : bytes.error().message });
     return {};
 }
 
-/// The record's checksum tells damage, which leaves nothing that can be trusted. An entry that can't be used in a whole record was
-/// written by another release; the others are as good as before.
+/// If the record's checksum does not match, no entry can be trusted. An invalid entry in an intact record was written by another release,
+/// and the other entries are still valid.
 template <typename Entry>
 std::optional<std::vector<Entry>> PersistedList<Entry>::read(std::string_view bytes, const std::function<void(const std::string&)>& refused)
 {
@@ -62,7 +62,7 @@
         return std::nullopt;
     std::vector<Entry> list;
     for (auto& entry : *entries) {
-        auto fault = entry ? faultOf(*entry) : "an entry has fields of other types";
+        auto fault = entry ? faultOf(*entry) : "an entry has fields of unexpected types";
         if (fault)
             refused(*fault);
         else
--- a/src/process/PersistedList.h
+++ b/src/process/PersistedList.h
@@ -1,16 +1,16 @@
 /** \file
- * What a controller knows of soft state, kept on its disk, so that a site that lost power as a whole knows it at once.
+ * A controller's soft state on disk, so that it is available immediately after a whole site has lost power.
  *
- * Of replicas: without it gateways wait for the announcements after such a restart. These come one by one within an announcement's
- * interval, and what callers ask meanwhile all goes to the first replicas that are known: the first prefill replica was sent 29 prompts
- * within 0.9 s, of which 16 were given up after 0.6 s and read at decode replicas.
+ * Replicas: without the file, gateways wait for the announcements after such a restart. These arrive one by one within an announcement
+ * interval, and all requests in the meantime go to the first known replicas: the first prefill replica was sent 29 prompts within 0.9 s, of
+ * which 16 were cancelled after 0.6 s and prefilled at decode replicas.
  *
- * Of requests that crash replicas: without it such a request crashes three more of them after each such restart.
+ * Requests that crash replicas: without the file, such a request crashes three more replicas after each such restart.
  *
- * What is remembered may be wrong. A replica that has gone is not renewed and soon doubted, and each call names the replica that it
- * means, so another one at its address refuses it. One that has started again under its id is remembered as the run that it was, and
- * yields to the newer one. Nothing is promised by these files: they are written after the news has been passed on,
- * on a thread of their own, since a disk that stalls must hold up neither announcements nor the log.
+ * The stored state may be outdated. A replica that no longer exists is not renewed and is soon considered stale, and each call contains the
+ * id of the replica that it is meant for, so another replica at its address refuses it. A replica that has restarted under the same id is
+ * stored as its former run, which the newer run replaces. These files give no durability guarantee: they are written after the change has
+ * been passed on, on a separate thread, since a stalled disk must delay neither announcements nor the log.
  */
 #pragma once
 
@@ -27,24 +27,24 @@
 
 namespace wrenhinge {
 
-/// A list in a file. \tparam Entry what it is a list of; each kind has a file of its own.
+/// A list stored in a file. \tparam Entry the type of its entries; there is one file per type.
 template <typename Entry> class PersistedList {
 public:
-    /// What is remembered changes rarely, but much at once: what changes within this is one write.
+    /// Changes are rare but come in bursts: changes within this time are combined into one write.
     static constexpr Duration batchDelay = 100ms;
 
-    /// \param folder the controller's data folder, which exists.
+    /// \param folder the controller's data folder, which must exist.
     PersistedList(std::string folder, EventLog&, RefusalLog&);
     ~PersistedList();
     PersistedList(const PersistedList&) = delete;
     PersistedList& operator=(const PersistedList&) = delete;
 
-    /// What was saved last, or nothing if that can't be read. An entry that can't be used is left out alone.
+    /// The list saved last, or an empty list if it can't be read. Invalid entries are skipped.
     [[nodiscard]] std::vector<Entry> load() const;
-    /// Returns at once; the newest list is written soon. Any thread.
+    /// Returns immediately; the newest list is written after `batchDelay`. Thread-safe.
     void save(std::vector<Entry>);
 
-    /// The usable ones of the entries in a file's bytes; nothing if they are damaged. \param refused hears of each other one.
+    /// The valid entries in a file's contents; nullopt if these are corrupt. \param refused called for each invalid entry.
     static std::optional<std::vector<Entry>> read(std::string_view bytes, const std::function<void(const std::string& why)>& refused);
 
 private:
@@ -54,11 +54,11 @@
     std::string m_folder;
     EventLog& m_log;
     RefusalLog& m_refusals;
-    std::mutex m_mutex; ///< Guards what follows; nothing is locked under it.
+    std::mutex m_mutex; ///< Guards the members below; no other mutex is locked while it is held.
     std::condition_variable m_changed;
     std::optional<std::vector<Entry>> m_unsaved;
     bool m_isStopping = false;
-    std::thread m_thread; ///< Last: it uses everything above.
+    std::thread m_thread; ///< Last, as the thread uses the members above.
 };
 
 using PersistedReplicas = PersistedList<Announcement>;
--- a/src/process/QuotaRelay.h
+++ b/src/process/QuotaRelay.h
@@ -1,7 +1,7 @@
 /** \file
- * Carries a controller's QuotaAggregator out, between its links.
+ * Runs a controller's QuotaAggregator: passes it the gateways' reports and sends its totals.
  *
- * Runs on the strand that it is given.
+ * Runs on the strand passed to it.
  */
 #pragma once
 
@@ -15,18 +15,18 @@
     QuotaRelay(Strand, PeerHub&);
 
     void start();
-    // From links. Any thread.
+    // Events of the links. Thread-safe.
     void peerUp(const Hello&);
     void peerDown(PeerId);
     void receive(PeerId, QuotaReport);
 
 private:
-    void tell();
+    void broadcast();
 
     Strand m_strand;
     PeerHub& m_hub;
     boost::asio::steady_timer m_timer;
-    QuotaAggregator m_exchange;
+    QuotaAggregator m_aggregator;
 };
 
 } // namespace wrenhinge
--- a/src/process/RefusalLog.h
+++ b/src/process/RefusalLog.h
@@ -1,9 +1,9 @@
 /** \file
- * What came to a door of this process and can't be used: counted all, told in the log at a bounded rate.
+ * Counts all invalid input that this process has refused, and logs it at a limited rate.
  *
- * Whoever sends one such entry sends thousands. A line for each would push everything else out of the log and of the time line;
- * without any line nobody would find the writer. Each door has a small budget of lines, and each line says how many came since
- * the last one. What is quoted of an entry is cut and made readable first.
+ * A sender of one invalid entry usually sends thousands. Logging each would displace all other events from the log and the timeline;
+ * logging none would make the sender impossible to find. Each source of input therefore has a small budget of log lines, and each line
+ * contains the number of refusals since the last one. Quoted input is truncated and sanitized first.
  */
 #pragma once
 
@@ -14,12 +14,12 @@
 
 namespace wrenhinge {
 
-/// Where something comes in from outside.
+/// Where external input enters the process.
 enum class InputSource : std::uint8_t { Announcement, Document, OtherCall, StateFile, Link, Report };
 
 class RefusalLog {
 public:
-    /// Lines of one door: this many at once, then this many a second.
+    /// Log lines of one source: the burst size and the sustained rate.
     static constexpr double burstLines = 20;
     static constexpr double linesPerSecond = 2;
     static constexpr std::size_t maxOriginLength = 100;
@@ -30,26 +30,27 @@
     {
     }
 
-    /// Any thread. \param from the writer, as far as known. \param what names the field, what came and what is expected.
-    void note(InputSource, const std::string& from, const std::string& what);
-    void note(InputSource, const std::string& from, const std::string& what, Instant now);
-    /// For a PeerHub.
-    std::function<void(const std::string& from, const std::string& what)> linkHandler();
+    /// Counts a refusal and logs it within the budget. Thread-safe. \param origin the sender, as far as known. \param detail contains the
+    /// field, its value and what is expected.
+    void note(InputSource, const std::string& origin, const std::string& detail);
+    void note(InputSource, const std::string& origin, const std::string& detail, Instant now);
+    /// The handler of invalid messages for a PeerHub.
+    std::function<void(const std::string& origin, const std::string& detail)> linkHandler();
     [[nodiscard]] std::uint64_t count(InputSource) const;
-    /// The Prometheus text form.
+    /// The counters in the Prometheus text format.
     [[nodiscard]] std::string metrics() const;
 
 private:
     struct State {
         std::uint64_t count = 0;
-        std::uint64_t told = 0; ///< Those that a line was written for or has counted.
-        double lines = burstLines;
-        Instant at;
+        std::uint64_t logged = 0; ///< Refusals covered by the lines logged so far.
+        double lineBudget = burstLines;
+        Instant updatedAt;
     };
 
     EventLog& m_log;
-    mutable std::mutex m_mutex; ///< Guards what follows; nothing is locked under it.
-    std::array<State, 6> m_doors;
+    mutable std::mutex m_mutex; ///< Guards the members below; no other mutex is locked while it is held.
+    std::array<State, 6> m_sources;
 };
 
 std::string_view nameOf(InputSource);
--- a/src/process/Registrar.h
+++ b/src/process/Registrar.h
@@ -1,13 +1,13 @@
 /** \file
- * A controller's side of the replicas' announcements: takes them, and sees to it that every gateway hears of them.
+ * Receives the replicas' announcements at a controller and distributes them to all gateways and controllers.
  *
- * What is news goes to all linked gateways and controllers at once, so that a replica which drains gets no new work within
- * the time of a message; each controller passes on what it hears from another, so that a gateway which reaches only one side
- * of a cut still hears the other side's. What only renews is told once a second in one message, which names all replicas to controllers and
- * to gateways only those that were not renewed. The table is soft state: whoever starts sees by the digest in that message that it lacks
- * something, and asks for the list (RegistryFollower).
+ * Changes are sent to all connected gateways and controllers immediately, so that a draining replica gets no new work after the latency of
+ * one message. Each controller forwards the changes that it receives from others, so that a gateway which reaches only one side of a
+ * network partition still learns those of the other side. Renewals are sent once a second in one heartbeat, which lists all replicas for
+ * controllers but only those that were not renewed for gateways. The registry is soft state: a process that starts detects by the digest
+ * in the heartbeat that its list differs, and requests the whole list (RegistryFollower).
  *
- * Runs on the strand that it is given.
+ * Runs on the strand passed to it.
  */
 #pragma once
 
@@ -22,68 +22,68 @@
 
 class Registrar {
 public:
-    /// Renewals are told this often; a gateway doubts a replica after several times that.
+    /// Interval of the heartbeats. A gateway considers a replica stale after several intervals without renewal.
     static constexpr Duration heartbeatInterval = 1s;
 
-    /// A replica that is remembered counts as heard of this long ago: it is used at once, and doubted 2 s later unless it announces
-    /// itself, which takes one interval of 1.2 s and some hundred ms.
+    /// Initial age of a replica restored from disk: it is used immediately, and considered stale 2 s later unless it announces itself,
+    /// which takes one announcement interval of 1.2 s plus a few hundred ms.
     static constexpr Duration restoredAge = 2500ms;
 
-    /// A controller that has just started is linked to those gateways that have found it so far, and they would each take too large a share
-    /// of what all may send beyond first calls. Within this time the last one has found it: several of the longest pauses between dials.
+    /// A controller that has just started is connected to only some of the gateways. If it sent their number, each would use too large a
+    /// share of the common budget for calls beyond the first ones. After this time, several times the longest pause between connection
+    /// attempts, all gateways have connected.
     static constexpr Duration gatewayCountDelay = 5s;
 
-    /// \param countsAfter for how long after `start` it says nothing of how many gateways there are.
-    Registrar(Strand, PeerHub&, EventLog&, Duration countsAfter = gatewayCountDelay);
+    /// \param countDelay for how long after `start` the heartbeats contain no number of gateways.
+    Registrar(Strand, PeerHub&, EventLog&, Duration countDelay = gatewayCountDelay);
 
-    /// \param remembered replicas that were known before this process started.
-    void start(const std::vector<Announcement>& remembered);
-    /// Called with the replicas that announce themselves when one has changed, come or fallen silent; set before `start`.
+    /// \param restored replicas known before this process started.
+    void start(const std::vector<Announcement>& restored);
+    /// Called with the replicas that announce themselves when one was added, has changed or become silent. Set it before `start`.
     std::function<void(std::vector<Announcement>)> onChange;
-    // From replicas.
+    // Calls of replicas.
     void announce(const Announcement&);
-    /// The replica with this id leaves. \param stated the run that it means, if it says which. \returns false if it does not and
-    /// no run of the id is known here, so that nothing can be ended.
+    /// Withdraws the replica with this id. \param statedStart start of the run to withdraw, if stated. \returns false if it is not stated
+    /// and no run of the id is known here, so that there is nothing to withdraw.
     ///
-    /// A replica that does not say which run it means is taken to mean the newest one that is known when it says so, and from here on
-    /// all processes are told that run. Such a call may have been delayed until the replica has started again, and then ends the wrong
-    /// run. That costs one replica until its next start; to leave the call without effect would send callers to a replica that
-    /// was told that nobody is sent to it any more.
-    bool withdraw(const std::string& id, std::optional<ReplicaStart> stated);
-    /// A replica was ordered to change its stage.
+    /// Without a stated run, the newest run known at the time of the call is withdrawn, and all processes are sent that run. If the call
+    /// was delayed until after a restart of the replica, it ends the wrong run. That costs one replica until its next start; ignoring the
+    /// call would route requests to a replica whose withdrawal was acknowledged.
+    bool withdraw(const std::string& id, std::optional<ReplicaStart> statedStart);
+    /// Records that a replica was ordered to change its stage.
     void changeStage(const StageChange&);
-    // From links. Any thread.
+    // Events of the links. Thread-safe.
     void peerUp(const Hello&);
     void peerDown(PeerId);
     void receive(PeerId, const Message&);
     [[nodiscard]] const ReplicaRegistry& registry() const { return m_registry; }
 
 private:
-    void take(const Announcement&, Duration age);
-    void takeWithdrawal(const ReplicaRun&);
-    bool note(const Announcement&, Duration age);
-    void takeList(PeerId, const RegistryList&);
-    void tellAll(const Message&);
-    void noteChange();
-    /// \param gateways how many there are; zero: not known.
+    void handleAnnouncement(const Announcement&, Duration age);
+    void handleWithdrawal(const ReplicaRun&);
+    bool apply(const Announcement&, Duration age);
+    void handleList(PeerId, const RegistryList&);
+    void broadcast(const Message&);
+    void notifyIfChanged();
+    /// \param gateways their number; zero: unknown.
     [[nodiscard]] RegistryHeartbeat heartbeatFor(Role, std::uint32_t gateways) const;
     void sendHeartbeats();
-    void askIfNeeded();
+    void queryIfNeeded();
 
     Strand m_strand;
     PeerHub& m_hub;
     EventLog& m_log;
     boost::asio::steady_timer m_timer;
-    boost::asio::steady_timer m_askTimer;
-    Duration m_countsAfter;
-    Instant m_countsFrom; ///< From `start` on.
+    boost::asio::steady_timer m_queryTimer;
+    Duration m_gatewayCountDelay;
+    Instant m_countsGatewaysFrom; ///< Set by `start`.
     ReplicaRegistry m_registry;
     RegistryFollower m_follower;
-    std::map<std::string, std::uint64_t> m_noted; ///< What `onChange` was called with last: ids, and when each changed.
-    std::map<std::string, std::uint64_t> m_changes; ///< By id: counts its changes.
+    std::map<std::string, std::uint64_t> m_notified; ///< The change counts at the last call of `onChange`, by id.
+    std::map<std::string, std::uint64_t> m_changeCounts; ///< Number of changes, by id.
 };
 
-/// Whether a message belongs to the registrar.
+/// Whether the registrar handles this message.
 bool isForRegistrar(const Message&);
 
 } // namespace wrenhinge
--- a/src/process/RegistryLimits.cpp
+++ b/src/process/RegistryLimits.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-    /// Entries that nobody renews any more are dropped every second.
+    /// Expired entries are removed every second.
     constexpr Duration retryAfter = 1s;
 
-    Error full(const std::string& what) { return { ResultCode::Overloaded, what, retryAfter }; }
+    Error limitReached(const std::string& what) { return { ResultCode::Overloaded, what, retryAfter }; }
 
-    std::size_t idsOf(const ReplicaRegistry& registry) { return registry.entries().size() + registry.withdrawn().size(); }
+    std::size_t idCount(const ReplicaRegistry& registry) { return registry.entries().size() + registry.withdrawn().size(); }
 
 } // namespace
 
@@ -17,12 +17,13 @@
 {
     if (registry.entries().contains(announcement.id))
         return std::nullopt;
-    if (idsOf(registry) >= maxIds)
-        return full("`id` is new, and " + std::to_string(maxIds) + " replicas are known or remembered; wait until some are forgotten");
+    if (idCount(registry) >= maxIds)
+        return limitReached("`id` is new, and " + std::to_string(maxIds)
+            + " replicas are known or recorded as withdrawn, which is the limit; retry after some have expired");
     count(registry, now);
     auto it = m_replicasPerService.find(announcement.service);
     if (it != m_replicasPerService.end() && it->second >= maxReplicasPerService)
-        return full("`service` has " + std::to_string(it->second) + " replicas, which is the most; wait until some have ended");
+        return limitReached("`service` has " + std::to_string(it->second) + " replicas, which is the limit; retry after some have ended");
     ++m_replicasPerService[announcement.service];
     return std::nullopt;
 }
@@ -30,9 +31,9 @@
 std::optional<Error> RegistryLimits::checkCapacity(const ReplicaRegistry& registry, const std::string& withdrawn)
 {
     bool isKnown = registry.entries().contains(withdrawn) || registry.withdrawn().contains(withdrawn);
-    if (isKnown || idsOf(registry) < maxIds)
+    if (isKnown || idCount(registry) < maxIds)
         return std::nullopt;
-    return full("`id` is not known here, and no more can be remembered for now");
+    return limitReached("`id` is unknown, and the limit of recorded ids is reached");
 }
 
 void RegistryLimits::count(const ReplicaRegistry& registry, Instant now)
--- a/src/process/RegistryLimits.h
+++ b/src/process/RegistryLimits.h
@@ -1,10 +1,10 @@
 /** \file
- * How many replicas the announcements at one door may bring into the registry.
+ * Limits how many replicas the announcements to one controller may add to the registry.
  *
- * Anyone who reaches the door can announce replicas, of services that no configuration names too: which these are is known only once
- * the first configuration has come, and replicas come before it. Each entry is kept for a minute after its last renewal and is
- * told to every process, so that a writer that draws a new id for each call would fill the memory of all of them. A known
- * id is always taken: what is bounded is new ones. Nobody is put out for a newcomer, and one service can't take the room of all.
+ * Any client that can connect to the controller can announce replicas, also of services without configuration: the services are known only
+ * after the first configuration, and replicas announce themselves before it. Each entry is kept for a minute after its last renewal and is
+ * sent to every process, so a client that uses a new id for each call would exhaust the memory of all of them. Announcements of known ids
+ * are always accepted; only new ids are limited. No entry is evicted for a new one, and one service can't use the whole capacity.
  */
 #pragma once
 
@@ -18,21 +18,21 @@
 
 class RegistryLimits {
 public:
-    /// Ids that are known or remembered as withdrawn: 10,000 replicas that are all replaced within five minutes, and a fifth.
+    /// Limit of ids that are known or recorded as withdrawn: 10,000 replicas that are all replaced within five minutes, plus 20%.
     static constexpr std::size_t maxIds = 24'000;
-    /// All replicas of the largest site in one service, and a fifth.
+    /// All replicas of the largest site in one service, plus 20%.
     static constexpr std::size_t maxReplicasPerService = 12'000;
     static constexpr Duration recountInterval = 1s;
 
-    /// \returns why the registry can't take it, for now.
+    /// \returns an error if a limit currently prevents adding the replica.
     std::optional<Error> checkCapacity(const ReplicaRegistry&, const Announcement&, Instant now);
-    /// The same for the end of a replica, which is remembered under its id.
+    /// The same for a withdrawal, which is recorded under the id of the replica.
     static std::optional<Error> checkCapacity(const ReplicaRegistry&, const std::string& withdrawn);
 
 private:
     void count(const ReplicaRegistry&, Instant now);
 
-    std::map<std::string, std::size_t> m_replicasPerService; ///< As counted last, and those that were let in since.
+    std::map<std::string, std::size_t> m_replicasPerService; ///< The last count plus the replicas accepted since.
     std::optional<Instant> m_countedAt;
 };
 
--- a/src/process/StageDriver.h
+++ b/src/process/StageDriver.h
@@ -1,7 +1,7 @@
 /** \file
- * Carries out what StageCoordinator decides: calls to engines, fencing tokens from the log, news to gateways.
+ * Performs the effects of StageCoordinator: calls engines, acquires fencing tokens from the log and broadcasts stage changes.
  *
- * Runs on the controller's strand. The words of the calls to engines are a dialect's.
+ * Runs on the controller's strand. The dialect defines the format of the calls to engines.
  */
 #pragma once
 
@@ -12,16 +12,16 @@
 
 namespace wrenhinge {
 
-/// An order to an engine, as its dialect needs it.
+/// An order to an engine, with all values that the dialect needs.
 struct StageOrder {
     stages::Engine engine;
     UpstreamKind to = UpstreamKind::Decode;
-    std::string holder; ///< The same for all orders of one controller, and for no other's.
+    std::string holder; ///< Identifies the controller; unique to it and equal in all its orders.
     FencingToken token;
-    std::uint64_t acceptedBefore = 0; ///< The engine refuses if it has accepted another number of orders.
+    std::uint64_t acceptedBefore = 0; ///< The engine refuses the order unless it has accepted exactly this many before.
 };
 
-/// The words in which engines are asked for their state and given orders.
+/// The format of the calls that read the state of engines and send orders to them.
 template <typename D>
 concept EngineDialect = requires(const stages::Engine& engine, const StageOrder& order, const GatheredAnswer& answer)
 {
@@ -41,17 +41,17 @@
 
 template <EngineDialect Dialect> class StageDriver {
 public:
-    /// How often plans are made. Loads are reported once a second, but at a site with 180 engines an order may follow another by 0.22 s.
+    /// Planning interval. Loads are reported once a second, but at a site with 180 engines two orders may be only 0.22 s apart.
     static constexpr Duration tickInterval = 100ms;
 
-    /// \param holder names this controller to engines.
+    /// \param holder identifies this controller to engines.
     StageDriver(ControllerRole& role, Runtime& runtime, Duration lease, std::string holder)
         : m_role(role)
         , m_log(runtime.log())
         , m_pool(role.strand())
         , m_timer(role.strand())
         , m_holder(std::move(holder))
-        , m_orders(role.registrar().registry(), lease, m_holder + "/" + toString(runtime.self()))
+        , m_coordinator(role.registrar().registry(), lease, m_holder + "/" + toString(runtime.self()))
     {
         m_role.onEngineLoad = [this](PeerId gateway, const EngineLoadReport& report) {
             boost::asio::post(m_role.strand(), [this, gateway, report] { post(stages::LoadReported { gateway, report }); });
@@ -86,60 +86,60 @@
 
     void post(const stages::Event& event)
     {
-        for (auto& effect : m_orders.step(event, currentInstant()))
-            std::visit([this](auto& e) { carry(e); }, effect);
+        for (auto& effect : m_coordinator.step(event, currentInstant()))
+            std::visit([this](auto& e) { execute(e); }, effect);
     }
 
-    void carry(stages::ReadEngine& read)
+    void execute(stages::ReadEngine& read)
     {
         auto onEnd = [this, order = read.order, engine = read.engine.run.id](const GatheredAnswer& answer) {
             auto state = Dialect::engineState(answer);
             if (!state && answer.head.status == 200)
                 m_role.refusals().note(
-                    InputSource::Report, engine, "its report lacks the count of its orders, or whether one is carried out");
+                    InputSource::Report, engine, "the report lacks the number of accepted orders or whether one is in progress");
             post(stages::EngineRead { order, state });
         };
         auto onFailure = [this, order = read.order](bool, const std::string&) { post(stages::EngineRead { order, std::nullopt }); };
         m_pool.call(read.engine.run, read.engine.address, Dialect::readEngine(read.engine), gather(onEnd, onFailure));
     }
 
-    void carry(stages::AcquireToken& take)
+    void execute(stages::AcquireToken& acquire)
     {
-        m_role.propose(FenceCommand { take.engine, take.name }, [this, order = take.order](const ProposeReply& reply) {
+        m_role.propose(FenceCommand { acquire.engine, acquire.name }, [this, order = acquire.order](const ProposeReply& reply) {
             auto token = reply.code == ResultCode::Ok ? FencingToken(reply.number) : FencingToken();
             boost::asio::post(m_role.strand(), [this, order, token] { post(stages::TokenAcquired { order, token }); });
         });
     }
 
-    void carry(stages::SendOrder& give)
+    void execute(stages::SendOrder& send)
     {
-        auto onEnd = [this, order = give.order](const GatheredAnswer& answer) {
+        auto onEnd = [this, order = send.order](const GatheredAnswer& answer) {
             post(stages::OrderAnswered { order, Dialect::orderAnswer(answer) });
         };
-        auto onFailure = [this, order = give.order](bool mayHaveRun, const std::string&) {
+        auto onFailure = [this, order = send.order](bool mayHaveRun, const std::string&) {
             post(stages::OrderAnswered { order, mayHaveRun ? stages::OrderAnswer::None : stages::OrderAnswer::Refused });
         };
-        StageOrder order { give.engine, give.to, m_holder, give.token, give.acceptedBefore };
-        auto call = m_pool.call(give.engine.run, give.engine.address, Dialect::giveOrder(order), gather(onEnd, onFailure));
-        // What has not left by then must not leave later, when another controller may lead.
-        m_lateOrder.expires_after(StageCoordinator::stepTimeout);
-        m_lateOrder.async_wait([call](ErrorCode ec) {
+        StageOrder order { send.engine, send.to, m_holder, send.token, send.acceptedBefore };
+        auto call = m_pool.call(send.engine.run, send.engine.address, Dialect::giveOrder(order), gather(onEnd, onFailure));
+        // An order not sent by then must not be sent later, when another controller may be the leader.
+        m_orderTimeout.expires_after(StageCoordinator::stepTimeout);
+        m_orderTimeout.async_wait([call](ErrorCode ec) {
             if (!ec)
                 UpstreamPool::cancel(call);
         });
     }
 
-    void carry(StageChange& change) { m_role.registrar().changeStage(change); }
+    void execute(StageChange& change) { m_role.registrar().changeStage(change); }
 
-    void carry(LogEvent& note) { m_log.write(note); }
+    void execute(LogEvent& event) { m_log.write(event); }
 
     ControllerRole& m_role;
     EventLog& m_log;
     UpstreamPool m_pool;
     boost::asio::steady_timer m_timer;
-    boost::asio::steady_timer m_lateOrder { m_role.strand() };
+    boost::asio::steady_timer m_orderTimeout { m_role.strand() };
     std::string m_holder;
-    StageCoordinator m_orders;
+    StageCoordinator m_coordinator;
     bool m_isStopped = false;
 };
 
