--- a/src/process/ControllerRole.cpp
+++ b/src/process/ControllerRole.cpp
@@ -227,7 +227,7 @@
     post(controller::PeerMessage { peer, std::move(message) });
 }
 
-// --- Event loop ---------------------------------------------------------------------------------------------------
+// --- Event loop -------------------------------------------------------------------------------------------------
 
 void ControllerRole::post(controller::Event event)
 {
@@ -455,8 +455,7 @@
     return reply;
 }
 
-/// Contains the sizes of documents and queues besides the log's state: documents are the largest data that a controller holds, sends and
-/// stores, and account for most of its memory.
+/// Besides the state of the log, contains what uses a controller's memory: documents are the largest data that it holds, sends and stores.
 std::string ControllerRole::metrics() const
 {
     auto queued = m_hub.queuedBytes();
--- a/src/process/PersistedList.cpp
+++ b/src/process/PersistedList.cpp
@@ -47,7 +47,7 @@
     if (list)
         return std::move(*list);
     // The next save replaces the file.
-    m_log.write({ EventCode::ReplicasForgotten, {}, bytes ? path + " is corrupt" : bytes.error().message });
+    m_log.write({ EventCode::ReplicasForgotten, {}, bytes ? path + " is damaged" : bytes.error().message });
     return {};
 }
 
--- a/src/process/PersistedList.h
+++ b/src/process/PersistedList.h
@@ -44,7 +44,7 @@
     /// Returns immediately; the newest list is written after `batchDelay`. Thread-safe.
     void save(std::vector<Entry>);
 
-    /// The valid entries in a file's contents; nullopt if these are corrupt. \param refused called for each invalid entry.
+    /// The valid entries in a file's contents; nullopt if these are damaged. \param refused called for each invalid entry.
     static std::optional<std::vector<Entry>> read(std::string_view bytes, const std::function<void(const std::string& why)>& refused);
 
 private:
--- a/src/process/StageDriver.h
+++ b/src/process/StageDriver.h
@@ -122,8 +122,8 @@
         StageOrder order { send.engine, send.to, m_holder, send.token, send.acceptedBefore };
         auto call = m_pool.call(send.engine.run, send.engine.address, Dialect::giveOrder(order), gather(onEnd, onFailure));
         // An order not sent by then must not be sent later, when another controller may be the leader.
-        m_orderTimeout.expires_after(StageCoordinator::stepTimeout);
-        m_orderTimeout.async_wait([call](ErrorCode ec) {
+        m_orderTimer.expires_after(StageCoordinator::stepTimeout);
+        m_orderTimer.async_wait([call](ErrorCode ec) {
             if (!ec)
                 UpstreamPool::cancel(call);
         });
@@ -137,7 +137,7 @@
     EventLog& m_log;
     UpstreamPool m_pool;
     boost::asio::steady_timer m_timer;
-    boost::asio::steady_timer m_orderTimeout { m_role.strand() };
+    boost::asio::steady_timer m_orderTimer { m_role.strand() };
     std::string m_holder;
     StageCoordinator m_coordinator;
     bool m_isStopped = false;
