--- a/src/process/ControlDoor.h
+++ b/src/process/ControlServer.h
@@ -10,7 +10,7 @@
 #include "base/SystemClock.h"
 #include "connection/HttpServer.h"
 #include "process/ControllerRole.h"
-#include "process/RegistryBounds.h"
+#include "process/RegistryLimits.h"
 #include "version/RoutingDocument.h"
 
 #include <optional>
@@ -25,11 +25,11 @@
 };
 struct GetDocument { };
 /// A replica leaves for good.
-struct ReplicaLeaves {
+struct ReplicaWithdrawal {
     std::string id;
     std::optional<ReplicaStart> start; ///< Of the run that leaves, if it says.
 };
-using ControlCall = std::variant<Announcement, ReplicaLeaves, PutDocument, GetDocument>;
+using ControlCall = std::variant<Announcement, ReplicaWithdrawal, PutDocument, GetDocument>;
 
 /// The words in which a platform speaks to the door.
 template <typename D>
@@ -46,20 +46,20 @@
         } -> std::same_as<std::string>;
 };
 
-template <ControlDialect Dialect> class ControlDoor {
+template <ControlDialect Dialect> class ControlServer {
 public:
     /// Callers wait a second for an answer; a proposal or a read is tried again until then, as an election may be under way.
-    static constexpr Duration patience = 850ms;
+    static constexpr Duration responseTimeout = 850ms;
     /// Time added for each byte of a document: callers wait longer for a large one, and its replication takes longer.
     static constexpr double microsPerByte = 5;
-    static constexpr Duration tryAgainAfter = 60ms;
+    static constexpr Duration retryInterval = 60ms;
     /// A controller that lags behind the leader makes its change against a version that the leader has replaced. It has caught up by the
     /// next heartbeat, after 120 ms at most, unless changes come faster than that; then the whole text is sent.
-    static constexpr int triesAsChange = 3;
+    static constexpr int maxDeltaAttempts = 3;
     /// A replica's announcement of a kept connection comes every second or so.
     static constexpr Duration idleTime = 10s;
 
-    explicit ControlDoor(ControllerRole& role)
+    explicit ControlServer(ControllerRole& role)
         : m_role(role)
         , m_server(role.strand(), [this](HttpRequest&& request, std::shared_ptr<HttpAnswer> answer) { handle(request, std::move(answer)); })
     {
@@ -76,11 +76,11 @@
     static constexpr std::size_t bodyLimit = 16u << 20;
 
     /// A proposal or a read on its way, tried until it succeeds or its time is over.
-    struct Pending {
+    struct PendingCall {
         std::shared_ptr<HttpAnswer> answer;
-        std::function<void(ControllerRole::Answered)> ask;
+        std::function<void(ControllerRole::ReplyCallback)> send;
         std::function<std::string(const ProposeReply&)> body;
-        Instant endsAt;
+        Instant deadline;
         bool isAnswered = false;
         boost::asio::steady_timer timer;
     };
@@ -91,15 +91,15 @@
         if (!call)
             return refuse(*answer, request, call.error());
         if (const auto* announcement = std::get_if<Announcement>(&call.value())) {
-            if (auto full = m_bounds.refuses(m_role.registrar().registry(), *announcement, currentInstant()))
-                return refuse(*answer, request, *full);
+            if (auto limitReached = m_limits.checkCapacity(m_role.registrar().registry(), *announcement, currentInstant()))
+                return refuse(*answer, request, *limitReached);
             m_role.registrar().announce(*announcement);
             answer->reply(200, jsonHeaders(), Dialect::announcementReply());
-        } else if (const auto* leaves = std::get_if<ReplicaLeaves>(&call.value())) {
-            if (auto full = RegistryBounds::refuses(m_role.registrar().registry(), leaves->id))
-                return refuse(*answer, request, *full);
+        } else if (const auto* withdrawal = std::get_if<ReplicaWithdrawal>(&call.value())) {
+            if (auto limitReached = RegistryLimits::checkCapacity(m_role.registrar().registry(), withdrawal->id))
+                return refuse(*answer, request, *limitReached);
             // An acknowledgement promises that nobody is sent to the replica: another controller may know it and can give that.
-            if (!m_role.registrar().withdraw(leaves->id, leaves->start))
+            if (!m_role.registrar().withdraw(withdrawal->id, withdrawal->start))
                 return reply(*answer, { ResultCode::NoUpstream, "no run of this replica is known here" });
             answer->reply(200, jsonHeaders(), Dialect::announcementReply());
         } else if (auto* put = std::get_if<PutDocument>(&call.value())) {
@@ -107,49 +107,51 @@
         } else {
             auto body = [](const ProposeReply& reply) { return reply.text; };
             start(
-                std::move(answer), [this](ControllerRole::Answered done) { m_role.readDocument(std::move(done)); }, body, patience);
+                std::move(answer), [this](ControllerRole::ReplyCallback done) { m_role.readDocument(std::move(done)); }, body,
+                responseTimeout);
         }
     }
 
     void propose(PutDocument put, std::shared_ptr<HttpAnswer> answer)
     {
-        auto limit = patience + fromSeconds(static_cast<double>(put.text.size()) * microsPerByte / 1e6);
+        auto timeout = responseTimeout + fromSeconds(static_cast<double>(put.text.size()) * microsPerByte / 1e6);
         DocumentCommand command { put.document.version, std::move(put.text) };
-        auto ask = [this, command = std::move(command), tries = 0](
-                       ControllerRole::Answered done) mutable { m_role.propose(command, std::move(done), ++tries > triesAsChange); };
+        auto send = [this, command = std::move(command), attempts = 0](ControllerRole::ReplyCallback done) mutable {
+            m_role.propose(command, std::move(done), ++attempts > maxDeltaAttempts);
+        };
         start(
-            std::move(answer), std::move(ask), [](const ProposeReply&) { return std::string("{}"); }, limit);
+            std::move(answer), std::move(send), [](const ProposeReply&) { return std::string("{}"); }, timeout);
     }
 
-    void start(std::shared_ptr<HttpAnswer> answer, std::function<void(ControllerRole::Answered)> ask,
-        std::function<std::string(const ProposeReply&)> body, Duration limit)
+    void start(std::shared_ptr<HttpAnswer> answer, std::function<void(ControllerRole::ReplyCallback)> send,
+        std::function<std::string(const ProposeReply&)> body, Duration timeout)
     {
-        auto pending = std::shared_ptr<Pending>(new Pending { std::move(answer), std::move(ask), std::move(body), currentInstant() + limit,
-            false, boost::asio::steady_timer(m_role.strand(), limit) });
+        auto pending = std::shared_ptr<PendingCall>(new PendingCall { std::move(answer), std::move(send), std::move(body),
+            currentInstant() + timeout, false, boost::asio::steady_timer(m_role.strand(), timeout) });
         pending->timer.async_wait([this, pending](ErrorCode ec) {
             if (!ec)
-                conclude(*pending, unavailable("no majority of controllers has confirmed it in time"));
+                finish(*pending, unavailable("no majority of controllers has confirmed it in time"));
         });
-        submit(pending);
+        attempt(pending);
     }
 
-    void submit(const std::shared_ptr<Pending>& pending)
+    void attempt(const std::shared_ptr<PendingCall>& pending)
     {
-        pending->ask([this, pending](ProposeReply reply) {
-            boost::asio::post(m_role.strand(), [this, pending, reply = std::move(reply)] { answered(pending, reply); });
+        pending->send([this, pending](ProposeReply reply) {
+            boost::asio::post(m_role.strand(), [this, pending, reply = std::move(reply)] { onReply(pending, reply); });
         });
     }
 
-    void answered(const std::shared_ptr<Pending>& pending, const ProposeReply& reply)
+    void onReply(const std::shared_ptr<PendingCall>& pending, const ProposeReply& reply)
     {
         if (pending->isAnswered)
             return;
-        if (reply.code != ResultCode::ConfigUnavailable || currentInstant() + tryAgainAfter >= pending->endsAt)
-            return conclude(*pending, reply);
-        auto timer = std::make_shared<boost::asio::steady_timer>(m_role.strand(), tryAgainAfter);
+        if (reply.code != ResultCode::ConfigUnavailable || currentInstant() + retryInterval >= pending->deadline)
+            return finish(*pending, reply);
+        auto timer = std::make_shared<boost::asio::steady_timer>(m_role.strand(), retryInterval);
         timer->async_wait([this, pending, timer](ErrorCode ec) {
             if (!ec && !pending->isAnswered)
-                submit(pending);
+                attempt(pending);
         });
     }
 
@@ -161,7 +163,7 @@
         return reply;
     }
 
-    void conclude(Pending& pending, const ProposeReply& outcome)
+    void finish(PendingCall& pending, const ProposeReply& outcome)
     {
         if (std::exchange(pending.isAnswered, true))
             return;
@@ -174,16 +176,16 @@
         pending.answer->reply(200, jsonHeaders(), std::move(body));
     }
 
-    static Door doorOf(ResultCode code)
+    static InputSource sourceOf(ResultCode code)
     {
         if (code == ResultCode::BadConfiguration)
-            return Door::Document;
-        return code == ResultCode::UnknownService ? Door::OtherCall : Door::Announcement;
+            return InputSource::Document;
+        return code == ResultCode::UnknownService ? InputSource::OtherCall : InputSource::Announcement;
     }
 
     void refuse(HttpAnswer& answer, const HttpRequest& request, const Error& error)
     {
-        m_role.refusals().note(doorOf(error.code), request.method + " " + request.target, error.message);
+        m_role.refusals().note(sourceOf(error.code), request.method + " " + request.target, error.message);
         reply(answer, error);
     }
 
@@ -196,7 +198,7 @@
 
     ControllerRole& m_role;
     HttpServer m_server;
-    RegistryBounds m_bounds;
+    RegistryLimits m_limits;
 };
 
 } // namespace wrenhinge
--- a/src/process/ControllerRole.cpp
+++ b/src/process/ControllerRole.cpp
@@ -11,10 +11,10 @@
 
     using Json = nlohmann::json;
 
-    constexpr Duration proposalLimit = 5s;
+    constexpr Duration proposalTimeout = 5s;
     /// How long to wait before a disk that refused a write is tried again. A full or failing disk must not end the process:
     /// it would be restarted into the same trouble, and the announcements that it takes need no disk.
-    constexpr Duration storageRetry = 300ms;
+    constexpr Duration storageRetryInterval = 300ms;
 
     raft::Settings raftSettings(const Settings& settings, DiskId disk)
     {
@@ -80,15 +80,15 @@
           { [this](const Hello& peer) { onPeerUp(peer); },
               [this](PeerId peer) {
                   m_registrar.peerDown(peer);
-                  m_quotas.peerDown(peer);
+                  m_quotaRelay.peerDown(peer);
                   post(controller::PeerDown { peer });
               },
               [this](PeerId peer, Message&& message) { onMessage(peer, std::move(message)); },
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
-              runtime.refusals().ofLinks() })
+              runtime.refusals().linkHandler() })
     , m_registrar(m_strand, m_hub, runtime.log())
-    , m_crashes(m_strand, m_hub, runtime.log(), m_registrar.registry())
-    , m_quotas(m_strand, m_hub)
+    , m_crashRelay(m_strand, m_hub, runtime.log(), m_registrar.registry())
+    , m_quotaRelay(m_strand, m_hub)
     , m_pages(settings, runtime,
           { [this] {
                std::lock_guard lock(m_logicMutex);
@@ -114,7 +114,7 @@
     m_logic = std::make_unique<ControllerLogic>(raftSettings(m_settings, m_storage.disk()), std::move(recovered.value()), currentInstant());
     startRegistrar();
     startCrashRelay();
-    m_quotas.start();
+    m_quotaRelay.start();
     auto adminAddress = m_adminServer.start(m_settings.admin, [this](const AdminRequest& request) { return admin(request); });
     if (!adminAddress)
         return adminAddress.error();
@@ -145,24 +145,24 @@
 /// Before anything listens, so that no announcement comes earlier than what is remembered.
 void ControllerRole::startRegistrar()
 {
-    std::vector<Announcement> remembered;
+    std::vector<Announcement> restored;
     if (isDynamic() && hasDisk()) {
-        m_replicaMemory.emplace(m_settings.controller.data, m_runtime.log(), m_runtime.refusals());
-        m_registrar.onChange = [this](std::vector<Announcement> list) { m_replicaMemory->save(std::move(list)); };
-        remembered = m_replicaMemory->load();
+        m_persistedReplicas.emplace(m_settings.controller.data, m_runtime.log(), m_runtime.refusals());
+        m_registrar.onChange = [this](std::vector<Announcement> list) { m_persistedReplicas->save(std::move(list)); };
+        restored = m_persistedReplicas->load();
     }
-    boost::asio::post(m_strand, [this, remembered = std::move(remembered)] { m_registrar.start(remembered); });
+    boost::asio::post(m_strand, [this, restored = std::move(restored)] { m_registrar.start(restored); });
 }
 
 void ControllerRole::startCrashRelay()
 {
-    std::vector<ReplicaCrash> remembered;
+    std::vector<ReplicaCrash> restored;
     if (hasDisk()) {
-        m_crashMemory.emplace(m_settings.controller.data, m_runtime.log(), m_runtime.refusals());
-        m_crashes.onChange = [this](std::vector<ReplicaCrash> list) { m_crashMemory->save(std::move(list)); };
-        remembered = m_crashMemory->load();
+        m_persistedCrashes.emplace(m_settings.controller.data, m_runtime.log(), m_runtime.refusals());
+        m_crashRelay.onChange = [this](std::vector<ReplicaCrash> list) { m_persistedCrashes->save(std::move(list)); };
+        restored = m_persistedCrashes->load();
     }
-    m_crashes.start(std::move(remembered));
+    m_crashRelay.start(std::move(restored));
 }
 
 void ControllerRole::drain()
@@ -182,19 +182,19 @@
 {
     post(controller::PeerUp { peer });
     m_registrar.peerUp(peer);
-    m_crashes.peerUp(peer);
-    m_quotas.peerUp(peer);
+    m_crashRelay.peerUp(peer);
+    m_quotaRelay.peerUp(peer);
     if (!isDynamic())
         return;
-    tellRoster(peer.id);
+    sendRoster(peer.id);
     if (peer.role != Role::Controller)
         return;
     for (const auto& other : m_hub.peers())
-        tellRoster(other.id);
+        sendRoster(other.id);
 }
 
 /// Nobody is told where all controllers are: each tells its links of the others, so that one seed that answers is enough.
-void ControllerRole::tellRoster(PeerId to)
+void ControllerRole::sendRoster(PeerId to)
 {
     ControllerRoster roster { { m_settings.listen } };
     for (const auto& peer : m_hub.peers()) {
@@ -209,9 +209,9 @@
     if (isForRegistrar(message))
         return m_registrar.receive(peer, message);
     if (const auto* crashes = std::get_if<CrashReport>(&message))
-        return m_crashes.receive(peer, *crashes);
+        return m_crashRelay.receive(peer, *crashes);
     if (auto* use = std::get_if<QuotaReport>(&message))
-        return m_quotas.receive(peer, std::move(*use));
+        return m_quotaRelay.receive(peer, std::move(*use));
     if (const auto* load = std::get_if<EngineLoadReport>(&message)) {
         if (onEngineLoad)
             onEngineLoad(peer, *load);
@@ -241,7 +241,7 @@
     {
         std::lock_guard lock(m_logicMutex);
         auto effects = m_logic->start();
-        if (!carry(effects) && !reopenStorage())
+        if (!execute(effects) && !reopenStorage())
             return;
     }
     for (;;) {
@@ -265,7 +265,7 @@
             batch.push_back(controller::Tick {});
         auto effects = m_logic->step(batch, now);
         m_leadingTerm = m_logic->raft().isLeader() ? m_logic->raft().term() : 0;
-        if (!carry(effects) && !reopenStorage())
+        if (!execute(effects) && !reopenStorage())
             return;
     }
 }
@@ -277,12 +277,12 @@
     for (bool isFirst = true;; isFirst = false) {
         {
             std::unique_lock lock(m_queueMutex);
-            if (m_wake.wait_for(lock, storageRetry, [this] { return m_isStopping; }))
+            if (m_wake.wait_for(lock, storageRetryInterval, [this] { return m_isStopping; }))
                 return false;
             m_queue.clear();
         }
         // What waited in the queue has waiting callers, and a proposal's hold its whole text.
-        refuseTickets();
+        failPendingReplies();
         auto recovered = recoverLog();
         if (isFirst || recovered)
             m_runtime.log().write({ EventCode::StorageReopened, {}, recovered ? "read again" : recovered.error().message });
@@ -291,7 +291,7 @@
         m_logic
             = std::make_unique<ControllerLogic>(raftSettings(m_settings, m_storage.disk()), std::move(recovered.value()), currentInstant());
         auto effects = m_logic->start();
-        if (!carry(effects))
+        if (!execute(effects))
             continue;
         for (const auto& peer : m_hub.peers())
             post(controller::PeerUp { peer });
@@ -318,7 +318,7 @@
 }
 
 /// Carries a batch's effects out: first all records with one sync, then the rest in order.
-bool ControllerRole::carry(ControllerLogic::Effects& effects)
+bool ControllerRole::execute(ControllerLogic::Effects& effects)
 {
     Result<void> stored = BOOST_OUTCOME_V2_NAMESPACE::success();
     if (hasDisk())
@@ -326,7 +326,7 @@
     if (!stored) {
         // What could not be stored must never be told to anyone: stop here, before any message leaves.
         m_runtime.log().write({ EventCode::StorageReopened, {}, std::string(nameOf(stored.error().code)) + ": " + stored.error().message });
-        refuseTickets();
+        failPendingReplies();
         return false;
     }
     for (auto& effect : effects) {
@@ -343,46 +343,46 @@
 
 void ControllerRole::answer(std::uint64_t ticket, ProposeReply reply)
 {
-    Answered answered;
+    ReplyCallback callback;
     {
         std::lock_guard lock(m_queueMutex);
         auto it = m_tickets.find(ticket);
         if (it == m_tickets.end())
             return;
-        answered = std::move(it->second);
+        callback = std::move(it->second);
         m_tickets.erase(it);
     }
-    answered(std::move(reply));
+    callback(std::move(reply));
 }
 
-void ControllerRole::refuseTickets()
+void ControllerRole::failPendingReplies()
 {
-    std::map<std::uint64_t, Answered> tickets;
+    std::map<std::uint64_t, ReplyCallback> tickets;
     {
         std::lock_guard lock(m_queueMutex);
         tickets = std::exchange(m_tickets, {});
     }
-    for (auto& [ticket, answered] : tickets) {
+    for (auto& [ticket, callback] : tickets) {
         ProposeReply reply;
         reply.code = ResultCode::ConfigUnavailable;
         reply.text = "this controller's disk refuses writes; ask another one";
-        answered(std::move(reply));
+        callback(std::move(reply));
     }
 }
 
-std::uint64_t ControllerRole::newTicket(Answered answered)
+std::uint64_t ControllerRole::newTicket(ReplyCallback callback)
 {
     std::lock_guard lock(m_queueMutex);
-    m_tickets[++m_lastTicket] = std::move(answered);
+    m_tickets[++m_lastTicket] = std::move(callback);
     return m_lastTicket;
 }
 
-void ControllerRole::propose(Command command, Answered answered, bool isWhole)
+void ControllerRole::propose(Command command, ReplyCallback callback, bool sendsWholeText)
 {
-    post(controller::LocalPropose { newTicket(std::move(answered)), std::move(command), isWhole });
+    post(controller::LocalPropose { newTicket(std::move(callback)), std::move(command), sendsWholeText });
 }
 
-void ControllerRole::readDocument(Answered answered) { post(controller::LocalRead { newTicket(std::move(answered)) }); }
+void ControllerRole::readDocument(ReplyCallback callback) { post(controller::LocalRead { newTicket(std::move(callback)) }); }
 
 void ControllerRole::stopLoop()
 {
@@ -444,7 +444,7 @@
     auto promise = std::make_shared<std::promise<ProposeReply>>();
     auto future = promise->get_future();
     propose(std::move(command), [promise](ProposeReply reply) { promise->set_value(std::move(reply)); });
-    if (future.wait_for(proposalLimit) == std::future_status::ready)
+    if (future.wait_for(proposalTimeout) == std::future_status::ready)
         return future.get();
     ProposeReply reply;
     reply.code = ResultCode::ConfigUnavailable;
--- a/src/process/ControllerRole.h
+++ b/src/process/ControllerRole.h
@@ -9,7 +9,7 @@
 #include "connection/PeerHub.h"
 #include "process/AdminPages.h"
 #include "process/CrashRelay.h"
-#include "process/DiskMemory.h"
+#include "process/PersistedList.h"
 #include "process/QuotaRelay.h"
 #include "process/Registrar.h"
 #include "version/ControllerLogic.h"
@@ -31,19 +31,19 @@
     ~ControllerRole();
 
     /// How the answer to a proposal or a read comes back, on the controller's own thread.
-    using Answered = std::function<void(ProposeReply)>;
+    using ReplyCallback = std::function<void(ProposeReply)>;
 
     Result<nlohmann::json> start();
     void drain();
     void reload(const Settings&) { }
 
-    /// Has a command committed, through another controller if that one leads. Any thread. \param isWhole see LocalPropose.
-    void propose(Command, Answered, bool isWhole = false);
+    /// Has a command committed, through another controller if that one leads. Any thread. \param sendsWholeText see LocalPropose.
+    void propose(Command, ReplyCallback, bool sendsWholeText = false);
     /// Reads the routing document linearizably: the reply has its version and text. Any thread.
-    void readDocument(Answered);
+    void readDocument(ReplyCallback);
     /// For the replicas' announcements; on the strand of `strand()`.
     Registrar& registrar() { return m_registrar; }
-    Refusals& refusals() { return m_runtime.refusals(); }
+    RefusalLog& refusals() { return m_runtime.refusals(); }
     [[nodiscard]] const Strand& strand() const { return m_strand; }
     /// The term in which this controller leads, or zero, as of the last batch of events. Any thread.
     [[nodiscard]] std::uint64_t leadingTerm() const { return m_leadingTerm; }
@@ -53,7 +53,7 @@
 private:
     void post(controller::Event);
     void loop();
-    bool carry(ControllerLogic::Effects&);
+    bool execute(ControllerLogic::Effects&);
     Result<void> store(const ControllerLogic::Effects&);
     Result<raft::Recovered> recoverLog();
     bool reopenStorage();
@@ -61,12 +61,12 @@
     void onMessage(PeerId, Message&&);
     void startRegistrar();
     void startCrashRelay();
-    void tellRoster(PeerId);
+    void sendRoster(PeerId);
     [[nodiscard]] bool isDynamic() const { return !m_settings.controller.seeds.empty(); }
     [[nodiscard]] bool hasDisk() const { return !m_settings.controller.data.empty(); }
-    std::uint64_t newTicket(Answered);
+    std::uint64_t newTicket(ReplyCallback);
     void answer(std::uint64_t ticket, ProposeReply);
-    void refuseTickets();
+    void failPendingReplies();
     void stopLoop();
     AdminReply admin(const AdminRequest&);
     AdminReply applyConfig(const AdminRequest&);
@@ -82,10 +82,10 @@
     Strand m_strand;
     PeerHub m_hub;
     Registrar m_registrar;
-    CrashRelay m_crashes;
-    QuotaRelay m_quotas;
-    std::optional<ReplicaMemory> m_replicaMemory; ///< From `start` on.
-    std::optional<CrashMemory> m_crashMemory; ///< The same.
+    CrashRelay m_crashRelay;
+    QuotaRelay m_quotaRelay;
+    std::optional<PersistedReplicas> m_persistedReplicas; ///< From `start` on.
+    std::optional<PersistedCrashes> m_persistedCrashes; ///< The same.
     AdminPages m_pages;
     AdminServer m_adminServer;
     std::thread m_thread;
@@ -97,7 +97,7 @@
     std::mutex m_queueMutex; ///< Guards what follows.
     std::condition_variable m_wake;
     std::vector<controller::Event> m_queue;
-    std::map<std::uint64_t, Answered> m_tickets;
+    std::map<std::uint64_t, ReplyCallback> m_tickets;
     std::uint64_t m_lastTicket = 0;
     bool m_isStopping = false;
 };
--- a/src/process/CrashRelay.cpp
+++ b/src/process/CrashRelay.cpp
@@ -13,10 +13,10 @@
 {
 }
 
-void CrashRelay::start(std::vector<ReplicaCrash> remembered)
+void CrashRelay::start(std::vector<ReplicaCrash> restored)
 {
-    boost::asio::post(m_strand, [this, remembered = std::move(remembered)] {
-        m_exchange.take(CrashReport { remembered, {} }, currentInstant());
+    boost::asio::post(m_strand, [this, restored = std::move(restored)] {
+        m_exchange.take(CrashReport { restored, {} }, currentInstant());
         check();
     });
 }
@@ -24,7 +24,7 @@
 void CrashRelay::check()
 {
     m_exchange.check(m_registry, currentInstant());
-    m_timer.expires_after(checkEvery);
+    m_timer.expires_after(checkInterval);
     m_timer.async_wait([this](ErrorCode ec) {
         if (!ec)
             check();
@@ -45,14 +45,14 @@
 void CrashRelay::take(PeerId from, const CrashReport& report)
 {
     auto now = currentInstant();
-    auto told = m_exchange.take(report, now);
-    if (onChange && !told.gateways.isEmpty())
+    auto updates = m_exchange.take(report, now);
+    if (onChange && !updates.gateways.isEmpty())
         onChange(m_exchange.snapshotFor(Role::Gateway, now).crashes);
-    for (const auto& request : told.refused)
+    for (const auto& request : updates.refused)
         m_log.write({ EventCode::RequestCrashesReplicas, {}, m_exchange.tracker().text(request) });
     for (const auto& peer : m_hub.peers()) {
         if (peer.id != from && peer.role != Role::Sidecar)
-            tell(peer.id, peer.role == Role::Controller ? told.controllers : told.gateways);
+            tell(peer.id, peer.role == Role::Controller ? updates.controllers : updates.gateways);
     }
 }
 
--- a/src/process/CrashRelay.h
+++ b/src/process/CrashRelay.h
@@ -16,13 +16,13 @@
 class CrashRelay {
 public:
     /// What the announcements have refuted is dropped this often.
-    static constexpr Duration checkEvery = 1s;
+    static constexpr Duration checkInterval = 1s;
 
     /// \param registry of the replicas that announce themselves; used on the strand alone.
     CrashRelay(Strand, PeerHub&, EventLog&, const ReplicaRegistry& registry);
 
     /// \param remembered what was known before this process started.
-    void start(std::vector<ReplicaCrash> remembered);
+    void start(std::vector<ReplicaCrash> restored);
     /// Called with all that gateways should know whenever that has changed; set before `start`.
     std::function<void(std::vector<ReplicaCrash>)> onChange;
     // From links. Any thread.
--- a/src/process/EngineSidecarRole.h
+++ b/src/process/EngineSidecarRole.h
@@ -17,7 +17,7 @@
 
 /// The words in which an engine is asked for its memory.
 template <typename D>
-concept MemoryDialect = requires(const std::string& address, const GatheredAnswer& answer)
+concept EngineReportDialect = requires(const std::string& address, const GatheredAnswer& answer)
 {
     {
         D::readMemory(address)
@@ -27,7 +27,7 @@
         } -> std::same_as<std::optional<admission::EngineReport>>;
 };
 
-template <MemoryDialect Dialect> class EngineSidecarRole {
+template <EngineReportDialect Dialect> class EngineSidecarRole {
 public:
     EngineSidecarRole(const Settings& settings, Runtime& runtime)
         : m_settings(settings)
@@ -40,10 +40,10 @@
                },
                   [this](PeerId peer) { m_driver.post(admission::GatewayDown { peer }); },
                   [this](PeerId peer, Message&& message) { onMessage(peer, message); }, [this] { return m_runtime.log().stampSend(); },
-                  [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); }, runtime.refusals().ofLinks() })
+                  [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); }, runtime.refusals().linkHandler() })
         , m_pool(m_strand)
         , m_driver(
-              runtime.timers(), [this](admission::Effect& effect) { std::visit([this](auto& e) { carry(e); }, effect); },
+              runtime.timers(), [this](admission::Effect& effect) { std::visit([this](auto& e) { execute(e); }, effect); },
               admission::Tick {}, EngineAdmission::Settings { settings.engine.address, settings.engine.spareDeviations })
         , m_pages(settings, runtime, { [] { return true; }, [this] { return m_hub.peers(); } })
     {
@@ -84,9 +84,9 @@
             m_driver.post(admission::PrefillReported { peer, *notice });
     }
 
-    void carry(admission::Send& tell) { m_hub.send(tell.to, tell.message); }
+    void execute(admission::Send& tell) { m_hub.send(tell.to, tell.message); }
 
-    void carry(admission::ReadEngine& read)
+    void execute(admission::ReadEngine& read)
     {
         boost::asio::post(m_strand, [this, number = read.number] {
             // A call that was given up would come back on its connection to the next one.
@@ -94,7 +94,7 @@
             auto onEnd = [this, number](const GatheredAnswer& answer) {
                 auto report = Dialect::engineReport(answer);
                 if (!report && answer.head.status == 200)
-                    m_runtime.refusals().note(Door::Report, m_settings.engine.address, "its report lacks its memory or what runs");
+                    m_runtime.refusals().note(InputSource::Report, m_settings.engine.address, "its report lacks its memory or what runs");
                 m_driver.post(admission::EngineRead { number, std::move(report) });
             };
             auto onFailure = [this, number](bool, const std::string&) { m_driver.post(admission::EngineRead { number, std::nullopt }); };
@@ -103,7 +103,7 @@
         });
     }
 
-    void carry(LogEvent& note) { m_runtime.log().write(note); }
+    void execute(LogEvent& note) { m_runtime.log().write(note); }
 
     AdminReply answerAdmin(const AdminRequest& request)
     {
--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -31,9 +31,9 @@
 namespace wrenhinge {
 
 /// A caller's request, decoded.
-struct CallerWords {
+struct ParsedCallerRequest {
     std::string id; ///< The caller's own name for it, which the replica's answer repeats.
-    forward::RequestMetadata ask;
+    forward::RequestMetadata metadata;
 };
 
 /// The words in which a platform's callers and replicas speak.
@@ -43,7 +43,7 @@
 {
     {
         D::readCaller(request)
-        } -> std::same_as<CallerWords>;
+        } -> std::same_as<ParsedCallerRequest>;
     {
         D::upstreamRequest(request, send)
         } -> std::same_as<UpstreamRequest>;
@@ -101,7 +101,7 @@
                   },
                   [this](PeerId peer, Message&& message) { onMessage(peer, std::move(message)); },
                   [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
-                  runtime.refusals().ofLinks() })
+                  runtime.refusals().linkHandler() })
         , m_callers(m_strand,
               [this](HttpRequest&& request, std::shared_ptr<HttpAnswer> answer) { onRequest(std::move(request), std::move(answer)); })
         , m_ready(m_strand, [this](HttpRequest&&, const std::shared_ptr<HttpAnswer>& answer) { onReadyCheck(*answer); })
@@ -138,11 +138,11 @@
         boost::asio::post(m_strand, [this] {
             m_isDraining = true;
             m_callers.announceClose();
-            post(forward::Stop { currentInstant() + m_settings.drainLimit });
+            post(forward::Stop { currentInstant() + m_settings.drainTimeout });
             m_runtime.waitUntil([] { return false; }, acceptWhileDraining,
                 [this](bool) {
                     boost::asio::post(m_strand, [this] { m_callers.closeIdle(); });
-                    m_runtime.waitUntil([this] { return !m_callers.connections(); }, m_settings.drainLimit - acceptWhileDraining,
+                    m_runtime.waitUntil([this] { return !m_callers.connections(); }, m_settings.drainTimeout - acceptWhileDraining,
                         [this](bool isDone) {
                             m_runtime.log().write({ EventCode::ProcessStopped, {}, isDone ? "all answered" : "with requests unanswered" });
                             m_runtime.finish(0);
@@ -179,10 +179,10 @@
         auto words = Dialect::readCaller(request);
         RequestId id { m_runtime.self(), ++m_lastSequence };
         answer->onGone = [this, id] { post(forward::CallerDisconnected { id }); };
-        words.ask.readFor = request.readFor;
-        words.ask.fingerprint = fingerprintOf({ request.method, request.host, request.target, request.body });
+        words.metadata.readFor = request.readFor;
+        words.metadata.fingerprint = fingerprintOf({ request.method, request.host, request.target, request.body });
         m_exchanges[id] = { std::move(request), std::move(words.id), std::move(answer), {} };
-        post(forward::Submit { id, std::move(words.ask) });
+        post(forward::Submit { id, std::move(words.metadata) });
     }
 
     bool isReady() const
@@ -202,7 +202,7 @@
         } else if (const auto* withdrawn = std::get_if<ReplicaWithdrawn>(&message)) {
             post(*withdrawn);
         } else if (const auto* headroom = std::get_if<EngineHeadroom>(&message)) {
-            post(forward::EngineCapacityReported { headroom->address, { peer, headroom->tokens, headroom->prefillBacklog } });
+            post(forward::EngineHeadroomReported { headroom->address, { peer, headroom->tokens, headroom->prefillBacklog } });
         } else if (const auto* reply = std::get_if<ReservationReply>(&message)) {
             post(forward::SidecarReservationReply { reply->request, reply->attempt, reply->isGranted, reply->headroom });
         } else if (auto* heartbeat = std::get_if<RegistryHeartbeat>(&message)) {
@@ -222,8 +222,8 @@
 
     void carryDocument(document::Effect& effect)
     {
-        if (auto* ask = std::get_if<document::Ask>(&effect))
-            m_hub.send(ask->to, ask->request);
+        if (auto* metadata = std::get_if<document::Ask>(&effect))
+            m_hub.send(metadata->to, metadata->request);
         else if (auto* take = std::get_if<document::Install>(&effect))
             onDocument(*take);
         else if (auto* confirm = std::get_if<document::Confirm>(&effect))
@@ -306,7 +306,7 @@
             auto own = readOwnAnswer(answer, caller);
             auto handle = own.isSuccess ? Dialect::readPrefill(answer.body) : std::nullopt;
             if (own.isSuccess && !handle)
-                m_runtime.refusals().note(Door::Report, replica.id, "its answer to a prompt names no usable handle");
+                m_runtime.refusals().note(InputSource::Report, replica.id, "its answer to a prompt names no usable handle");
             if (handle)
                 post(forward::PrefillFinished { id, attempt, std::move(*handle) });
             else
@@ -326,7 +326,7 @@
             bool isTaken = readOwnAnswer(answer, caller).isSuccess;
             auto reservation = isTaken ? Dialect::readPlace(answer.body) : std::nullopt;
             if (isTaken && !reservation)
-                m_runtime.refusals().note(Door::Report, replica.id, "its answer names no usable place");
+                m_runtime.refusals().note(InputSource::Report, replica.id, "its answer names no usable place");
             if (reservation)
                 post(forward::ReservationGranted { id, attempt, std::move(*reservation) });
             else
@@ -425,7 +425,7 @@
             m_hub.leave(withPort(leave.engineAddress, m_settings.sidecarPort));
     }
 
-    void carry(forward::FetchRegistry& ask) { m_hub.send(ask.controller, ask.request); }
+    void carry(forward::FetchRegistry& metadata) { m_hub.send(metadata.controller, metadata.request); }
 
     void carry(forward::ReportLoad& load) { tellControllers(load.report); }
 
@@ -441,7 +441,7 @@
     {
         const auto& report = use.report;
         tellControllers([&report](PeerId to) {
-            return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.told };
+            return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.knownGateways };
         });
     }
 
@@ -493,7 +493,7 @@
             return AdminPages::notFound(request.path);
         m_driver.inspect([this](const ForwardLogic& logic) {
             m_metrics.setGauge("wrenhinge_in_progress", static_cast<double>(logic.requests()));
-            m_metrics.setGauge("wrenhinge_log_lines_left_out", static_cast<double>(m_runtime.log().linesLeftOut()));
+            m_metrics.setGauge("wrenhinge_log_lines_left_out", static_cast<double>(m_runtime.log().droppedLines()));
             m_metrics.setGauge("wrenhinge_engines_used", static_cast<double>(logic.replicas().subset().ids().size()));
             m_metrics.setGauge("wrenhinge_document_version", static_cast<double>(logic.documentVersion()));
             m_metrics.setGauge("wrenhinge_keys_refused_total", static_cast<double>(logic.refusedKeys()));
--- a/src/process/GatewayRole.cpp
+++ b/src/process/GatewayRole.cpp
@@ -41,7 +41,7 @@
                   m_driver.post(gateway::PeerMessage { peer, std::move(message) });
               },
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
-              runtime.refusals().ofLinks() })
+              runtime.refusals().linkHandler() })
     , m_callers(runtime.io(), settings.callers, runtime.self(),
           { [this](const RequestId& id, CallerRequest caller) {
                m_driver.post(gateway::Submit { id, std::move(caller) });
@@ -94,7 +94,7 @@
 {
     m_callers.stopAccepting();
     auto isFlushed = [this] { return !m_callers.unfinished(); };
-    m_runtime.waitUntil(isFlushed, m_settings.drainLimit, [this](bool reached) {
+    m_runtime.waitUntil(isFlushed, m_settings.drainTimeout, [this](bool reached) {
         m_hub.stop();
         m_runtime.log().write({ EventCode::ProcessStopped, {}, reached ? "drained" : "drain limit reached" });
         m_runtime.finish(reached ? 0 : exitUnfinished);
--- a/src/process/DiskMemory.cpp
+++ b/src/process/PersistedList.cpp
@@ -1,4 +1,4 @@
-#include "process/DiskMemory.h"
+#include "process/PersistedList.h"
 
 #include "connection/MessageCheck.h"
 #include "message/Codec.h"
@@ -18,7 +18,7 @@
 } // namespace
 
 template <typename Entry>
-DiskMemory<Entry>::DiskMemory(std::string folder, EventLog& log, Refusals& refusals)
+PersistedList<Entry>::PersistedList(std::string folder, EventLog& log, RefusalLog& refusals)
     : m_folder(std::move(folder))
     , m_log(log)
     , m_refusals(refusals)
@@ -26,7 +26,7 @@
 {
 }
 
-template <typename Entry> DiskMemory<Entry>::~DiskMemory()
+template <typename Entry> PersistedList<Entry>::~PersistedList()
 {
     {
         std::lock_guard lock(m_mutex);
@@ -36,13 +36,13 @@
     m_thread.join();
 }
 
-template <typename Entry> std::vector<Entry> DiskMemory<Entry>::load() const
+template <typename Entry> std::vector<Entry> PersistedList<Entry>::load() const
 {
     auto path = m_folder + "/" + fileName<Entry>;
     if (!std::filesystem::exists(path))
         return {};
     auto bytes = disk::readFile(path);
-    auto refuse = [this, &path](const std::string& why) { m_refusals.note(Door::Memory, path, why); };
+    auto refuse = [this, &path](const std::string& why) { m_refusals.note(InputSource::StateFile, path, why); };
     auto list = bytes ? read(bytes.value(), refuse) : std::nullopt;
     if (list)
         return std::move(*list);
@@ -54,7 +54,7 @@
 /// The record's checksum tells damage, which leaves nothing that can be trusted. An entry that can't be used in a whole record was
 /// written by another release; the others are as good as before.
 template <typename Entry>
-std::optional<std::vector<Entry>> DiskMemory<Entry>::read(std::string_view bytes, const std::function<void(const std::string&)>& refused)
+std::optional<std::vector<Entry>> PersistedList<Entry>::read(std::string_view bytes, const std::function<void(const std::string&)>& refused)
 {
     auto payload = disk::recordAt(bytes, 0);
     auto entries = payload ? decodeEach<Entry>(*payload) : std::nullopt;
@@ -71,38 +71,38 @@
     return list;
 }
 
-template <typename Entry> void DiskMemory<Entry>::save(std::vector<Entry> list)
+template <typename Entry> void PersistedList<Entry>::save(std::vector<Entry> list)
 {
     {
         std::lock_guard lock(m_mutex);
-        m_toWrite = std::move(list);
+        m_unsaved = std::move(list);
     }
     m_changed.notify_one();
 }
 
-template <typename Entry> void DiskMemory<Entry>::run()
+template <typename Entry> void PersistedList<Entry>::run()
 {
     std::unique_lock lock(m_mutex);
     for (;;) {
-        m_changed.wait(lock, [this] { return m_isStopping || m_toWrite; });
+        m_changed.wait(lock, [this] { return m_isStopping || m_unsaved; });
         if (m_isStopping)
             return;
-        m_changed.wait_for(lock, gatherFor, [this] { return m_isStopping; });
-        auto list = std::exchange(m_toWrite, std::nullopt);
+        m_changed.wait_for(lock, batchDelay, [this] { return m_isStopping; });
+        auto list = std::exchange(m_unsaved, std::nullopt);
         lock.unlock();
         write(*list);
         lock.lock();
     }
 }
 
-template <typename Entry> void DiskMemory<Entry>::write(const std::vector<Entry>& list)
+template <typename Entry> void PersistedList<Entry>::write(const std::vector<Entry>& list)
 {
     auto written = disk::replaceFile(m_folder, fileName<Entry>, disk::encodeRecord(encodeValue(list)));
     if (!written)
         m_log.write({ EventCode::ReplicasForgotten, {}, written.error().message });
 }
 
-template class DiskMemory<Announcement>;
-template class DiskMemory<ReplicaCrash>;
+template class PersistedList<Announcement>;
+template class PersistedList<ReplicaCrash>;
 
 } // namespace wrenhinge
--- a/src/process/DiskMemory.h
+++ b/src/process/PersistedList.h
@@ -16,7 +16,7 @@
 
 #include "message/Messages.h"
 #include "process/EventLog.h"
-#include "process/Refusals.h"
+#include "process/RefusalLog.h"
 
 #include <condition_variable>
 #include <functional>
@@ -28,16 +28,16 @@
 namespace wrenhinge {
 
 /// A list in a file. \tparam Entry what it is a list of; each kind has a file of its own.
-template <typename Entry> class DiskMemory {
+template <typename Entry> class PersistedList {
 public:
     /// What is remembered changes rarely, but much at once: what changes within this is one write.
-    static constexpr Duration gatherFor = 100ms;
+    static constexpr Duration batchDelay = 100ms;
 
     /// \param folder the controller's data folder, which exists.
-    DiskMemory(std::string folder, EventLog&, Refusals&);
-    ~DiskMemory();
-    DiskMemory(const DiskMemory&) = delete;
-    DiskMemory& operator=(const DiskMemory&) = delete;
+    PersistedList(std::string folder, EventLog&, RefusalLog&);
+    ~PersistedList();
+    PersistedList(const PersistedList&) = delete;
+    PersistedList& operator=(const PersistedList&) = delete;
 
     /// What was saved last, or nothing if that can't be read. An entry that can't be used is left out alone.
     [[nodiscard]] std::vector<Entry> load() const;
@@ -53,15 +53,15 @@
 
     std::string m_folder;
     EventLog& m_log;
-    Refusals& m_refusals;
+    RefusalLog& m_refusals;
     std::mutex m_mutex; ///< Guards what follows; nothing is locked under it.
     std::condition_variable m_changed;
-    std::optional<std::vector<Entry>> m_toWrite;
+    std::optional<std::vector<Entry>> m_unsaved;
     bool m_isStopping = false;
     std::thread m_thread; ///< Last: it uses everything above.
 };
 
-using ReplicaMemory = DiskMemory<Announcement>;
-using CrashMemory = DiskMemory<ReplicaCrash>;
+using PersistedReplicas = PersistedList<Announcement>;
+using PersistedCrashes = PersistedList<ReplicaCrash>;
 
 } // namespace wrenhinge
--- a/src/process/QuotaRelay.cpp
+++ b/src/process/QuotaRelay.cpp
@@ -19,22 +19,22 @@
 void QuotaRelay::peerUp(const Hello& peer)
 {
     if (peer.role == Role::Gateway)
-        boost::asio::post(m_strand, [this, id = peer.id, name = peer.name] { m_exchange.connected(id, name); });
+        boost::asio::post(m_strand, [this, id = peer.id, name = peer.name] { m_aggregator.connected(id, name); });
 }
 
 void QuotaRelay::peerDown(PeerId peer)
 {
-    boost::asio::post(m_strand, [this, peer] { m_exchange.disconnected(peer, currentInstant()); });
+    boost::asio::post(m_strand, [this, peer] { m_aggregator.disconnected(peer, currentInstant()); });
 }
 
 void QuotaRelay::receive(PeerId peer, QuotaReport report)
 {
-    boost::asio::post(m_strand, [this, peer, report = std::move(report)] { m_exchange.take(peer, report, currentInstant()); });
+    boost::asio::post(m_strand, [this, peer, report = std::move(report)] { m_aggregator.take(peer, report, currentInstant()); });
 }
 
 void QuotaRelay::tell()
 {
-    for (const auto& [peer, totals] : m_exchange.tell(currentInstant()))
+    for (const auto& [peer, totals] : m_aggregator.tell(currentInstant()))
         m_hub.send(peer, totals);
     m_timer.expires_after(quota::broadcastInterval);
     m_timer.async_wait([this](ErrorCode ec) {
--- a/src/process/QuotaRelay.h
+++ b/src/process/QuotaRelay.h
@@ -26,7 +26,7 @@
     Strand m_strand;
     PeerHub& m_hub;
     boost::asio::steady_timer m_timer;
-    QuotaAggregator m_exchange;
+    QuotaAggregator m_aggregator;
 };
 
 } // namespace wrenhinge
--- a/src/process/Refusals.h
+++ b/src/process/RefusalLog.h
@@ -15,43 +15,43 @@
 namespace wrenhinge {
 
 /// Where something comes in from outside.
-enum class Door : std::uint8_t { Announcement, Document, OtherCall, Memory, Link, Report };
+enum class InputSource : std::uint8_t { Announcement, Document, OtherCall, StateFile, Link, Report };
 
-class Refusals {
+class RefusalLog {
 public:
     /// Lines of one door: this many at once, then this many a second.
-    static constexpr double linesAtOnce = 20;
+    static constexpr double burstLines = 20;
     static constexpr double linesPerSecond = 2;
-    static constexpr std::size_t longestFrom = 100;
-    static constexpr std::size_t longestWhat = 400;
+    static constexpr std::size_t maxOriginLength = 100;
+    static constexpr std::size_t maxDetailLength = 400;
 
-    explicit Refusals(EventLog& log)
+    explicit RefusalLog(EventLog& log)
         : m_log(log)
     {
     }
 
     /// Any thread. \param from the writer, as far as known. \param what names the field, what came and what is expected.
-    void note(Door, const std::string& from, const std::string& what);
-    void note(Door, const std::string& from, const std::string& what, Instant now);
+    void note(InputSource, const std::string& origin, const std::string& detail);
+    void note(InputSource, const std::string& origin, const std::string& detail, Instant now);
     /// For a PeerHub.
-    std::function<void(const std::string& from, const std::string& what)> ofLinks();
-    [[nodiscard]] std::uint64_t count(Door) const;
+    std::function<void(const std::string& origin, const std::string& detail)> linkHandler();
+    [[nodiscard]] std::uint64_t count(InputSource) const;
     /// The Prometheus text form.
     [[nodiscard]] std::string metrics() const;
 
 private:
     struct State {
         std::uint64_t count = 0;
-        std::uint64_t told = 0; ///< Those that a line was written for or has counted.
-        double lines = linesAtOnce;
-        Instant at;
+        std::uint64_t logged = 0; ///< Those that a line was written for or has counted.
+        double lineBudget = burstLines;
+        Instant updatedAt;
     };
 
     EventLog& m_log;
     mutable std::mutex m_mutex; ///< Guards what follows; nothing is locked under it.
-    std::array<State, 6> m_doors;
+    std::array<State, 6> m_sources;
 };
 
-std::string_view nameOf(Door);
+std::string_view nameOf(InputSource);
 
 } // namespace wrenhinge
--- a/src/process/Registrar.cpp
+++ b/src/process/Registrar.cpp
@@ -18,26 +18,26 @@
     , m_hub(hub)
     , m_log(log)
     , m_timer(m_strand)
-    , m_askTimer(m_strand)
-    , m_countsAfter(countsAfter)
+    , m_queryTimer(m_strand)
+    , m_gatewayCountDelay(countsAfter)
 {
 }
 
-void Registrar::start(const std::vector<Announcement>& remembered)
+void Registrar::start(const std::vector<Announcement>& restored)
 {
-    m_countsFrom = currentInstant() + m_countsAfter;
-    for (const auto& announcement : remembered)
-        m_registry.announce(announcement, rememberedAge, currentInstant());
+    m_countsGatewaysFrom = currentInstant() + m_gatewayCountDelay;
+    for (const auto& announcement : restored)
+        m_registry.announce(announcement, restoredAge, currentInstant());
     sendHeartbeats();
 }
 
-void Registrar::announce(const Announcement& announcement) { take(announcement, Duration::zero()); }
+void Registrar::announce(const Announcement& announcement) { handleAnnouncement(announcement, Duration::zero()); }
 
-bool Registrar::withdraw(const std::string& id, std::optional<ReplicaStart> stated)
+bool Registrar::withdraw(const std::string& id, std::optional<ReplicaStart> statedStart)
 {
-    auto run = stated ? ReplicaRun { id, *stated } : m_registry.newestRun(id);
+    auto run = statedStart ? ReplicaRun { id, *statedStart } : m_registry.newestRun(id);
     if (run)
-        takeWithdrawal(*run);
+        handleWithdrawal(*run);
     return run.has_value();
 }
 
@@ -58,19 +58,19 @@
 {
     boost::asio::post(m_strand, [this, peer, message] {
         if (const auto* announced = std::get_if<RelayedAnnouncement>(&message)) {
-            take(announced->announcement, announced->age);
+            handleAnnouncement(announced->announcement, announced->age);
         } else if (const auto* withdrawn = std::get_if<ReplicaWithdrawn>(&message)) {
-            takeWithdrawal(withdrawn->run());
+            handleWithdrawal(withdrawn->run());
         } else if (const auto* change = std::get_if<StageChange>(&message)) {
             changeStage(*change);
         } else if (const auto* heartbeat = std::get_if<RegistryHeartbeat>(&message)) {
             m_registry.renew(*heartbeat, currentInstant());
             m_follower.digestReceived(peer, heartbeat->digest, heartbeat->known);
-            askIfNeeded();
+            queryIfNeeded();
         } else if (std::holds_alternative<RegistryRequest>(message)) {
             m_hub.send(peer, m_registry.list(currentInstant()));
         } else if (const auto* list = std::get_if<RegistryList>(&message)) {
-            takeList(peer, *list);
+            handleList(peer, *list);
         }
     });
 }
@@ -78,46 +78,46 @@
 /// What comes in a list is passed on one by one only if it takes work away from a replica: that must reach all gateways within the time of
 /// a message. That a replica is there is found by the digest within a second, by each process that does not know it. Passed on too, a
 /// start of all controllers would tell each replica to each gateway as often as there are controllers.
-void Registrar::takeList(PeerId peer, const RegistryList& list)
+void Registrar::handleList(PeerId peer, const RegistryList& list)
 {
     m_follower.listReceived(peer);
     for (const auto& announced : list.known) {
-        bool takesWorkAway = announced.announcement.state == ReplicaState::Draining;
-        if (note(announced.announcement, announced.age) && takesWorkAway)
-            tellAll(announced);
+        bool removesCapacity = announced.announcement.state == ReplicaState::Draining;
+        if (apply(announced.announcement, announced.age) && removesCapacity)
+            broadcast(announced);
     }
     for (const auto& withdrawn : list.ended)
-        takeWithdrawal(withdrawn.run());
+        handleWithdrawal(withdrawn.run());
     for (const auto& change : list.changing)
         changeStage(change);
-    noteChange();
-    askIfNeeded();
+    notifyIfChanged();
+    queryIfNeeded();
 }
 
-void Registrar::askIfNeeded()
+void Registrar::queryIfNeeded()
 {
     auto now = currentInstant();
     if (auto peer = m_follower.nextPeerToQuery(m_registry.digest(), now))
         m_hub.send(*peer, RegistryRequest { m_registry.digest() });
     if (m_follower.nextWake() == Instant::max())
         return;
-    m_askTimer.expires_after(m_follower.nextWake() - now);
-    m_askTimer.async_wait([this](ErrorCode ec) {
+    m_queryTimer.expires_after(m_follower.nextWake() - now);
+    m_queryTimer.async_wait([this](ErrorCode ec) {
         if (!ec)
-            askIfNeeded();
+            queryIfNeeded();
     });
 }
 
-void Registrar::take(const Announcement& announcement, Duration age)
+void Registrar::handleAnnouncement(const Announcement& announcement, Duration age)
 {
-    if (!note(announcement, age))
+    if (!apply(announcement, age))
         return;
-    tellAll(RelayedAnnouncement { announcement, age });
-    noteChange();
+    broadcast(RelayedAnnouncement { announcement, age });
+    notifyIfChanged();
 }
 
 /// \returns whether it was news.
-bool Registrar::note(const Announcement& announcement, Duration age)
+bool Registrar::apply(const Announcement& announcement, Duration age)
 {
     auto former = m_registry.newestRun(announcement.id);
     auto change = m_registry.announce(announcement, age, currentInstant());
@@ -128,48 +128,48 @@
     bool isDraining = announcement.state == ReplicaState::Draining;
     m_log.write({ isDraining ? EventCode::UpstreamDraining : EventCode::UpstreamAnnounced, {},
         announcement.id + " of " + announcement.service + " at " + announcement.address });
-    ++m_changes[announcement.id];
+    ++m_changeCounts[announcement.id];
     return true;
 }
 
-void Registrar::takeWithdrawal(const ReplicaRun& run)
+void Registrar::handleWithdrawal(const ReplicaRun& run)
 {
     if (!m_registry.withdraw(run, currentInstant()))
         return;
     m_log.write({ EventCode::UpstreamDraining, {}, toString(run) + " has ended" });
-    tellAll(ReplicaWithdrawn { run.id, run.start });
+    broadcast(ReplicaWithdrawn { run.id, run.start });
     if (!m_registry.entries().contains(run.id))
-        m_changes.erase(run.id);
-    noteChange();
+        m_changeCounts.erase(run.id);
+    notifyIfChanged();
 }
 
-void Registrar::noteChange()
+void Registrar::notifyIfChanged()
 {
     if (!onChange)
         return;
     auto now = currentInstant();
     std::vector<Announcement> list;
-    std::map<std::string, std::uint64_t> noted;
+    std::map<std::string, std::uint64_t> changeCounts;
     for (const auto& [id, entry] : m_registry.entries()) {
         // After a restart a crashed one would be asked first.
         if (entry.isSilent(now))
             continue;
         list.push_back(entry.announcement);
-        noted[id] = m_changes[id];
+        changeCounts[id] = m_changeCounts[id];
     }
-    if (noted == m_noted)
+    if (changeCounts == m_notified)
         return;
-    m_noted = std::move(noted);
+    m_notified = std::move(changeCounts);
     onChange(std::move(list));
 }
 
 void Registrar::changeStage(const StageChange& change)
 {
     if (m_registry.changeStage(change, currentInstant()))
-        tellAll(change);
+        broadcast(change);
 }
 
-void Registrar::tellAll(const Message& message)
+void Registrar::broadcast(const Message& message)
 {
     for (const auto& peer : m_hub.peers()) {
         if (peer.role != Role::Sidecar)
@@ -179,8 +179,8 @@
 
 RegistryHeartbeat Registrar::heartbeatFor(Role role, std::uint32_t gateways) const
 {
-    auto names = role == Role::Gateway ? ReplicaRegistry::HeartbeatScope::Stale : ReplicaRegistry::HeartbeatScope::All;
-    auto message = m_registry.heartbeat(names, currentInstant());
+    auto scope = role == Role::Gateway ? ReplicaRegistry::HeartbeatScope::Stale : ReplicaRegistry::HeartbeatScope::All;
+    auto message = m_registry.heartbeat(scope, currentInstant());
     message.gateways = gateways;
     return message;
 }
@@ -188,10 +188,10 @@
 void Registrar::sendHeartbeats()
 {
     m_registry.removeExpired(currentInstant());
-    noteChange();
+    notifyIfChanged();
     auto peers = m_hub.peers();
     auto isGateway = [](const Hello& peer) { return peer.role == Role::Gateway; };
-    bool isCounting = currentInstant() >= m_countsFrom;
+    bool isCounting = currentInstant() >= m_countsGatewaysFrom;
     auto gateways = isCounting ? static_cast<std::uint32_t>(std::count_if(peers.begin(), peers.end(), isGateway)) : 0;
     auto forGateways = heartbeatFor(Role::Gateway, gateways);
     auto forControllers = heartbeatFor(Role::Controller, gateways);
@@ -199,7 +199,7 @@
         if (peer.role != Role::Sidecar)
             m_hub.send(peer.id, peer.role == Role::Gateway ? forGateways : forControllers);
     }
-    m_timer.expires_after(heartbeatEvery);
+    m_timer.expires_after(heartbeatInterval);
     m_timer.async_wait([this](ErrorCode ec) {
         if (!ec)
             sendHeartbeats();
--- a/src/process/Registrar.h
+++ b/src/process/Registrar.h
@@ -23,21 +23,21 @@
 class Registrar {
 public:
     /// Renewals are told this often; a gateway doubts a replica after several times that.
-    static constexpr Duration heartbeatEvery = 1s;
+    static constexpr Duration heartbeatInterval = 1s;
 
     /// A replica that is remembered counts as heard of this long ago: it is used at once, and doubted 2 s later unless it announces
     /// itself, which takes one interval of 1.2 s and some hundred ms.
-    static constexpr Duration rememberedAge = 2500ms;
+    static constexpr Duration restoredAge = 2500ms;
 
     /// A controller that has just started is linked to those gateways that have found it so far, and they would each take too large a share
     /// of what all may send beyond first calls. Within this time the last one has found it: several of the longest pauses between dials.
-    static constexpr Duration countsGatewaysAfter = 5s;
+    static constexpr Duration gatewayCountDelay = 5s;
 
     /// \param countsAfter for how long after `start` it says nothing of how many gateways there are.
-    Registrar(Strand, PeerHub&, EventLog&, Duration countsAfter = countsGatewaysAfter);
+    Registrar(Strand, PeerHub&, EventLog&, Duration countsAfter = gatewayCountDelay);
 
     /// \param remembered replicas that were known before this process started.
-    void start(const std::vector<Announcement>& remembered);
+    void start(const std::vector<Announcement>& restored);
     /// Called with the replicas that announce themselves when one has changed, come or fallen silent; set before `start`.
     std::function<void(std::vector<Announcement>)> onChange;
     // From replicas.
@@ -49,7 +49,7 @@
     /// all processes are told that run. Such a call may have been delayed until the replica has started again, and then ends the wrong
     /// run. That costs one replica until its next start; to leave the call without effect would send callers to a replica that
     /// was told that nobody is sent to it any more.
-    bool withdraw(const std::string& id, std::optional<ReplicaStart> stated);
+    bool withdraw(const std::string& id, std::optional<ReplicaStart> statedStart);
     /// A replica was ordered to change its stage.
     void changeStage(const StageChange&);
     // From links. Any thread.
@@ -59,28 +59,28 @@
     [[nodiscard]] const ReplicaRegistry& registry() const { return m_registry; }
 
 private:
-    void take(const Announcement&, Duration age);
-    void takeWithdrawal(const ReplicaRun&);
-    bool note(const Announcement&, Duration age);
-    void takeList(PeerId, const RegistryList&);
-    void tellAll(const Message&);
-    void noteChange();
+    void handleAnnouncement(const Announcement&, Duration age);
+    void handleWithdrawal(const ReplicaRun&);
+    bool apply(const Announcement&, Duration age);
+    void handleList(PeerId, const RegistryList&);
+    void broadcast(const Message&);
+    void notifyIfChanged();
     /// \param gateways how many there are; zero: not known.
     [[nodiscard]] RegistryHeartbeat heartbeatFor(Role, std::uint32_t gateways) const;
     void sendHeartbeats();
-    void askIfNeeded();
+    void queryIfNeeded();
 
     Strand m_strand;
     PeerHub& m_hub;
     EventLog& m_log;
     boost::asio::steady_timer m_timer;
-    boost::asio::steady_timer m_askTimer;
-    Duration m_countsAfter;
-    Instant m_countsFrom; ///< From `start` on.
+    boost::asio::steady_timer m_queryTimer;
+    Duration m_gatewayCountDelay;
+    Instant m_countsGatewaysFrom; ///< From `start` on.
     ReplicaRegistry m_registry;
     RegistryFollower m_follower;
-    std::map<std::string, std::uint64_t> m_noted; ///< What `onChange` was called with last: ids, and when each changed.
-    std::map<std::string, std::uint64_t> m_changes; ///< By id: counts its changes.
+    std::map<std::string, std::uint64_t> m_notified; ///< What `onChange` was called with last: ids, and when each changed.
+    std::map<std::string, std::uint64_t> m_changeCounts; ///< By id: counts its changes.
 };
 
 /// Whether a message belongs to the registrar.
--- a/src/process/RegistryBounds.h
+++ b/src/process/RegistryLimits.h
@@ -16,23 +16,23 @@
 
 namespace wrenhinge {
 
-class RegistryBounds {
+class RegistryLimits {
 public:
     /// Ids that are known or remembered as withdrawn: 10,000 replicas that are all replaced within five minutes, and a fifth.
-    static constexpr std::size_t mostIds = 24'000;
+    static constexpr std::size_t maxIds = 24'000;
     /// All replicas of the largest site in one service, and a fifth.
-    static constexpr std::size_t mostOfService = 12'000;
-    static constexpr Duration countAgainAfter = 1s;
+    static constexpr std::size_t maxReplicasPerService = 12'000;
+    static constexpr Duration recountInterval = 1s;
 
     /// \returns why the registry can't take it, for now.
-    std::optional<Error> refuses(const ReplicaRegistry&, const Announcement&, Instant now);
+    std::optional<Error> checkCapacity(const ReplicaRegistry&, const Announcement&, Instant now);
     /// The same for the end of a replica, which is remembered under its id.
-    static std::optional<Error> refuses(const ReplicaRegistry&, const std::string& withdrawn);
+    static std::optional<Error> checkCapacity(const ReplicaRegistry&, const std::string& withdrawn);
 
 private:
     void count(const ReplicaRegistry&, Instant now);
 
-    std::map<std::string, std::size_t> m_ofService; ///< As counted last, and those that were let in since.
+    std::map<std::string, std::size_t> m_replicasPerService; ///< As counted last, and those that were let in since.
     std::optional<Instant> m_countedAt;
 };
 
--- a/src/process/Runtime.h
+++ b/src/process/Runtime.h
@@ -6,7 +6,7 @@
 #include "connection/Asio.h"
 #include "process/AdminServer.h"
 #include "process/EventLog.h"
-#include "process/Refusals.h"
+#include "process/RefusalLog.h"
 #include "process/Settings.h"
 #include "process/TimerService.h"
 
@@ -28,7 +28,7 @@
     TimerService& timers() { return m_timers; }
     EventLog& log() { return m_log; }
     /// What came in that can't be used, at any door of this process.
-    Refusals& refusals() { return m_refusals; }
+    RefusalLog& refusals() { return m_refusals; }
     /// This run of this process.
     [[nodiscard]] PeerId self() const { return m_self; }
 
@@ -47,7 +47,7 @@
     IoContext m_io;
     TimerService m_timers;
     EventLog m_log;
-    Refusals m_refusals { m_log };
+    RefusalLog m_refusals { m_log };
     PeerId m_self;
     boost::asio::signal_set m_signals;
     bool m_isTerminating = false;
--- a/src/process/SidecarRole.cpp
+++ b/src/process/SidecarRole.cpp
@@ -37,7 +37,7 @@
                   m_driver.post(sidecar::PeerMessage { peer, std::move(message) });
               },
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
-              runtime.refusals().ofLinks() })
+              runtime.refusals().linkHandler() })
     , m_driver(
           runtime.timers(), [this](sidecar::Effect& effect) { carry(effect); }, sidecar::Tick {}, profileOf(settings, runtime.self()))
     , m_pages(settings, runtime,
--- a/src/process/StageKeeper.h
+++ b/src/process/StageDriver.h
@@ -39,19 +39,19 @@
         } -> std::same_as<stages::OrderAnswer>;
 };
 
-template <EngineDialect Dialect> class StageKeeper {
+template <EngineDialect Dialect> class StageDriver {
 public:
     /// How often plans are made. Loads are reported once a second, but at a site with 180 engines an order may follow another by 0.22 s.
-    static constexpr Duration tickEvery = 100ms;
+    static constexpr Duration tickInterval = 100ms;
 
     /// \param holder names this controller to engines.
-    StageKeeper(ControllerRole& role, Runtime& runtime, Duration lease, std::string holder)
+    StageDriver(ControllerRole& role, Runtime& runtime, Duration lease, std::string holder)
         : m_role(role)
         , m_log(runtime.log())
         , m_pool(role.strand())
         , m_timer(role.strand())
         , m_holder(std::move(holder))
-        , m_orders(role.registrar().registry(), lease, m_holder + "/" + toString(runtime.self()))
+        , m_coordinator(role.registrar().registry(), lease, m_holder + "/" + toString(runtime.self()))
     {
         m_role.onEngineLoad = [this](PeerId gateway, const EngineLoadReport& report) {
             boost::asio::post(m_role.strand(), [this, gateway, report] { post(stages::LoadReported { gateway, report }); });
@@ -77,7 +77,7 @@
             return;
         post(stages::LeadershipChanged { m_role.leadingTerm() });
         post(stages::Tick {});
-        m_timer.expires_after(tickEvery);
+        m_timer.expires_after(tickInterval);
         m_timer.async_wait([this](ErrorCode ec) {
             if (!ec)
                 tick();
@@ -86,23 +86,24 @@
 
     void post(const stages::Event& event)
     {
-        for (auto& effect : m_orders.step(event, currentInstant()))
-            std::visit([this](auto& e) { carry(e); }, effect);
+        for (auto& effect : m_coordinator.step(event, currentInstant()))
+            std::visit([this](auto& e) { execute(e); }, effect);
     }
 
-    void carry(stages::ReadEngine& read)
+    void execute(stages::ReadEngine& read)
     {
         auto onEnd = [this, order = read.order, engine = read.engine.run.id](const GatheredAnswer& answer) {
             auto state = Dialect::engineState(answer);
             if (!state && answer.head.status == 200)
-                m_role.refusals().note(Door::Report, engine, "its report lacks the count of its orders, or whether one is carried out");
+                m_role.refusals().note(
+                    InputSource::Report, engine, "its report lacks the count of its orders, or whether one is carried out");
             post(stages::EngineRead { order, state });
         };
         auto onFailure = [this, order = read.order](bool, const std::string&) { post(stages::EngineRead { order, std::nullopt }); };
         m_pool.call(read.engine.run, read.engine.address, Dialect::readEngine(read.engine), gather(onEnd, onFailure));
     }
 
-    void carry(stages::AcquireToken& take)
+    void execute(stages::AcquireToken& take)
     {
         m_role.propose(FenceCommand { take.engine, take.name }, [this, order = take.order](const ProposeReply& reply) {
             auto token = reply.code == ResultCode::Ok ? FencingToken(reply.number) : FencingToken();
@@ -110,7 +111,7 @@
         });
     }
 
-    void carry(stages::SendOrder& give)
+    void execute(stages::SendOrder& give)
     {
         auto onEnd = [this, order = give.order](const GatheredAnswer& answer) {
             post(stages::OrderAnswered { order, Dialect::orderAnswer(answer) });
@@ -121,24 +122,24 @@
         StageOrder order { give.engine, give.to, m_holder, give.token, give.acceptedBefore };
         auto call = m_pool.call(give.engine.run, give.engine.address, Dialect::giveOrder(order), gather(onEnd, onFailure));
         // What has not left by then must not leave later, when another controller may lead.
-        m_lateOrder.expires_after(StageCoordinator::stepTimeout);
-        m_lateOrder.async_wait([call](ErrorCode ec) {
+        m_orderTimer.expires_after(StageCoordinator::stepTimeout);
+        m_orderTimer.async_wait([call](ErrorCode ec) {
             if (!ec)
                 UpstreamPool::cancel(call);
         });
     }
 
-    void carry(StageChange& change) { m_role.registrar().changeStage(change); }
+    void execute(StageChange& change) { m_role.registrar().changeStage(change); }
 
-    void carry(LogEvent& note) { m_log.write(note); }
+    void execute(LogEvent& note) { m_log.write(note); }
 
     ControllerRole& m_role;
     EventLog& m_log;
     UpstreamPool m_pool;
     boost::asio::steady_timer m_timer;
-    boost::asio::steady_timer m_lateOrder { m_role.strand() };
+    boost::asio::steady_timer m_orderTimer { m_role.strand() };
     std::string m_holder;
-    StageCoordinator m_orders;
+    StageCoordinator m_coordinator;
     bool m_isStopped = false;
 };
 
--- a/src/process/TimerService.cpp
+++ b/src/process/TimerService.cpp
@@ -12,7 +12,7 @@
     /// Subscribers with nothing to wait for name the end of time. The system's timer counts in nanoseconds and wraps round there:
     /// it fired at once, again and again, and an idle gateway took its whole share of the processor, so that the controller on
     /// the same machine did not get to start for 12 s after both were killed.
-    constexpr Duration longestSleep = 1h;
+    constexpr Duration maxTimeout = 1h;
 
 } // namespace
 
@@ -21,17 +21,17 @@
 {
 }
 
-TimerService::Subscriber TimerService::subscribe(std::function<void()> wake)
+TimerService::SubscriberId TimerService::subscribe(std::function<void()> callback)
 {
     std::lock_guard lock(m_mutex);
-    m_wakes[++m_last] = std::move(wake);
-    return m_last;
+    m_callbacks[++m_lastSubscriber] = std::move(callback);
+    return m_lastSubscriber;
 }
 
-void TimerService::wakeAt(Subscriber subscriber, Instant when)
+void TimerService::wakeAt(SubscriberId subscriber, Instant when)
 {
     std::lock_guard lock(m_mutex);
-    m_due[subscriber] = when;
+    m_deadlines[subscriber] = when;
     arm();
 }
 
@@ -44,14 +44,16 @@
 
 void TimerService::arm()
 {
-    if (m_due.empty() || m_stopped)
+    if (m_deadlines.empty() || m_stopped)
         return;
-    auto earliest = std::min_element(m_due.begin(), m_due.end(), [](const auto& a, const auto& b) { return a.second < b.second; })->second;
+    auto earliest = std::min_element(m_deadlines.begin(), m_deadlines.end(), [](const auto& a, const auto& b) {
+        return a.second < b.second;
+    })->second;
     if (m_armedFor == earliest)
         return;
     m_armedFor = earliest;
     auto now = currentInstant();
-    m_timer.expires_after(earliest > now + longestSleep ? longestSleep : std::max(Duration::zero(), earliest - now));
+    m_timer.expires_after(earliest > now + maxTimeout ? maxTimeout : std::max(Duration::zero(), earliest - now));
     m_timer.async_wait([this](ErrorCode ec) {
         if (!ec)
             fire();
@@ -65,18 +67,18 @@
         std::lock_guard lock(m_mutex);
         m_armedFor = {};
         auto now = currentInstant();
-        for (auto it = m_due.begin(); it != m_due.end();) {
+        for (auto it = m_deadlines.begin(); it != m_deadlines.end();) {
             if (it->second > now) {
                 ++it;
                 continue;
             }
-            ready.push_back(m_wakes[it->first]);
-            it = m_due.erase(it);
+            ready.push_back(m_callbacks[it->first]);
+            it = m_deadlines.erase(it);
         }
         arm();
     }
-    for (const auto& wake : ready)
-        wake();
+    for (const auto& callback : ready)
+        callback();
 }
 
 } // namespace wrenhinge
--- a/src/version/LogStorage.h
+++ b/src/version/LogStorage.h
@@ -5,7 +5,7 @@
  *     log        records of `magic, length, checksum, payload`, appended; one for each sync
  *     snapshot   one record: the state up to an index; replaced atomically by rename
  *
- * The folder may also contain `replicas` and `crashes`, which DiskMemory writes; they are not read here.
+ * The folder may also contain `replicas` and `crashes`, which PersistedList writes; they are not read here.
  *
  * Failures and how they are handled:
  * - A crash during a write leaves a torn record at the end. It was never acknowledged, so it is truncated.
--- a/test/correctness/DiskMemoryTest.cpp
+++ b/test/correctness/DiskMemoryTest.cpp
@@ -34,7 +34,7 @@
 TEST_CASE("replicas are remembered as they were saved last")
 {
     ControllerFolder at;
-    ReplicaMemory memory(at.folder.path(), at.log, at.refusals);
+    PersistedReplicas memory(at.folder.path(), at.log, at.refusals);
     CHECK(memory.load().empty());
     memory.save(replicas({ "a" }));
     memory.save(replicas({ "a", "b" }));
@@ -50,7 +50,7 @@
 TEST_CASE("a list that a power loss has torn is forgotten, with a line in the log, and replaced by the next one")
 {
     ControllerFolder at;
-    ReplicaMemory memory(at.folder.path(), at.log, at.refusals);
+    PersistedReplicas memory(at.folder.path(), at.log, at.refusals);
     memory.save(replicas({ "a", "b" }));
     written(memory, 2);
     std::filesystem::resize_file(at.folder.file("replicas"), std::filesystem::file_size(at.folder.file("replicas")) - 3);
@@ -66,7 +66,7 @@
     // Symptom: after a restart no replica is known. Sequence: the list was written by a release that knows one more state, or holds
     // one entry without an address. Cause: one entry that can't be used made the whole list unreadable, or was taken as it was.
     ControllerFolder at;
-    ReplicaMemory memory(at.folder.path(), at.log, at.refusals);
+    PersistedReplicas memory(at.folder.path(), at.log, at.refusals);
     auto list = replicas({ "a", "b", "c", "d", "e", "f" });
     list[1].state = static_cast<ReplicaState>(7);
     list[2].address = "nowhere";
@@ -76,13 +76,13 @@
     auto kept = written(memory, 2);
     CHECK(kept[0].id == "a");
     CHECK(kept[1].id == "f");
-    CHECK(at.refusals.count(Door::Memory) >= 4);
+    CHECK(at.refusals.count(InputSource::StateFile) >= 4);
 }
 
 TEST_CASE("a disk that refuses writes is noted and ends nothing")
 {
     ControllerFolder at;
-    ReplicaMemory memory(at.folder.path() + "/missing", at.log, at.refusals);
+    PersistedReplicas memory(at.folder.path() + "/missing", at.log, at.refusals);
     memory.save(replicas({ "a" }));
     while (at.log.events("").empty())
         std::this_thread::sleep_for(5ms);
@@ -93,8 +93,8 @@
 {
     // Symptom: after a site has lost its power a request that had been refused ends three replicas more.
     ControllerFolder at;
-    ReplicaMemory replicaMemory(at.folder.path(), at.log, at.refusals);
-    CrashMemory memory(at.folder.path(), at.log, at.refusals);
+    PersistedReplicas replicaMemory(at.folder.path(), at.log, at.refusals);
+    PersistedCrashes memory(at.folder.path(), at.log, at.refusals);
     CHECK(memory.load().empty());
     replicaMemory.save(replicas({ "a" }));
     memory.save({ { RequestFingerprint(7), "i-1", ReplicaStart(5), 3s, 100ms }, { RequestFingerprint(7), "", {}, 3s, 100ms } });
--- a/test/correctness/DoorTest.cpp
+++ b/test/correctness/DoorTest.cpp
@@ -4,8 +4,8 @@
 #include "connection/DialBackoff.h"
 #include "connection/MessageCheck.h"
 #include "connection/UpstreamPool.h"
-#include "process/Refusals.h"
-#include "process/RegistryBounds.h"
+#include "process/RefusalLog.h"
+#include "process/RegistryLimits.h"
 
 #include <cmath>
 #include <doctest/doctest.h>
@@ -40,16 +40,16 @@
     // Symptom: nothing else is left in the log. Sequence: a writer sends thousands of entries a second. Cause: a line for each.
     LogSettings settings;
     EventLog log(settings, "test");
-    Refusals refusals(log);
+    RefusalLog refusals(log);
     Instant now { 1h };
     for (int i = 0; i < 10000; ++i)
-        refusals.note(Door::Announcement, "PUT /x", "`state` is " + std::string(100000, '\n'), now);
-    CHECK(refusals.count(Door::Announcement) == 10000);
+        refusals.note(InputSource::Announcement, "PUT /x", "`state` is " + std::string(100000, '\n'), now);
+    CHECK(refusals.count(InputSource::Announcement) == 10000);
     CHECK(linesOf(log) == 20);
     // Another door is heard all the same.
-    refusals.note(Door::Link, "10.0.0.2:7", "a message of no type", now);
+    refusals.note(InputSource::Link, "10.0.0.2:7", "a message of no type", now);
     CHECK(linesOf(log) == 21);
-    refusals.note(Door::Announcement, "PUT /x", "`state` is missing", now + 1s);
+    refusals.note(InputSource::Announcement, "PUT /x", "`state` is missing", now + 1s);
     auto last = log.events("").back().text;
     CHECK(last.find("9980 more since the last line") != std::string::npos);
     for (const auto& event : log.events("")) {
@@ -65,10 +65,10 @@
     // Symptom: controllers and gateways end, out of memory. Sequence: announcements of a service that nobody configured, each under
     // an id of its own. Cause: each entry was kept for a minute, however many there were.
     ReplicaRegistry registry;
-    RegistryBounds bounds;
+    RegistryLimits bounds;
     Instant now { 1h };
     auto announce = [&](const Announcement& announcement) {
-        if (bounds.refuses(registry, announcement, now))
+        if (bounds.checkCapacity(registry, announcement, now))
             return false;
         registry.announce(announcement, Duration::zero(), now);
         return true;
@@ -76,20 +76,20 @@
     REQUIRE(announce(replica("good")));
     for (int i = 0; i < 30000; ++i)
         announce(replica("junk-" + std::to_string(i), "nobody"));
-    CHECK(registry.entries().size() == RegistryBounds::mostOfService + 1);
+    CHECK(registry.entries().size() == RegistryLimits::maxReplicasPerService + 1);
     // One service can't take the room of the others, and a known replica is always heard.
     CHECK(announce(replica("better")));
-    CHECK(!bounds.refuses(registry, replica("good"), now));
-    CHECK(!bounds.refuses(registry, replica("junk-0", "nobody"), now));
+    CHECK(!bounds.checkCapacity(registry, replica("good"), now));
+    CHECK(!bounds.checkCapacity(registry, replica("junk-0", "nobody"), now));
     for (int i = 0; i < 30000; ++i)
         announce(replica("more-" + std::to_string(i), "service-" + std::to_string(i)));
-    CHECK(registry.entries().size() == RegistryBounds::mostIds);
-    auto full = bounds.refuses(registry, replica("late"), now);
+    CHECK(registry.entries().size() == RegistryLimits::maxIds);
+    auto full = bounds.checkCapacity(registry, replica("late"), now);
     REQUIRE(full);
     CHECK(httpStatusOf(full->code) == 503);
     // Ids that end without having been known are remembered too.
-    CHECK(RegistryBounds::refuses(registry, "unknown"));
-    CHECK(!RegistryBounds::refuses(registry, "good"));
+    CHECK(RegistryLimits::checkCapacity(registry, "unknown"));
+    CHECK(!RegistryLimits::checkCapacity(registry, "good"));
     // There is room again once the junk is no longer renewed.
     now += ReplicaRegistry::expiredAfter + 1s;
     registry.removeExpired(now);
--- a/test/correctness/RegistrarTest.cpp
+++ b/test/correctness/RegistrarTest.cpp
@@ -105,7 +105,7 @@
     // Symptom: after a loss of a whole large site 1,565 calls beyond the first reach a service in 10 s, where 900 are allowed. Sequence:
     // all start; each controller tells the gateways that have found it so far how many these are, 8 say; each of 105 gateways takes an
     // eighth of the slack. Cause: a number that grows for seconds was told as if it were one.
-    Link link(Registrar::countsGatewaysAfter);
+    Link link(Registrar::gatewayCountDelay);
     link.heard.await(1);
     link.start();
     CHECK(link.heard.await(2).gateways == 0);
--- a/test/correctness/RunTest.cpp
+++ b/test/correctness/RunTest.cpp
@@ -430,13 +430,13 @@
     // Symptom: after a restart of the whole site a replica that had started again is sent to its former address. Sequence: a controller
     // that was down meanwhile remembers the former run with a higher count.
     ControllerFolder at;
-    ReplicaMemory memory(at.folder.path(), at.log, at.refusals);
+    PersistedReplicas memory(at.folder.path(), at.log, at.refusals);
     memory.save({ announcement(first, 40) });
     auto remembered = written(memory, 1);
     CHECK(remembered.front().start == first);
     ReplicaRegistry registry;
     registry.announce(announcement(second, 1), 0s, start);
-    CHECK(registry.announce(remembered.front(), Registrar::rememberedAge, start) == Change::None);
+    CHECK(registry.announce(remembered.front(), Registrar::restoredAge, start) == Change::None);
 }
 
 TEST_CASE("a list that a release without runs has written is read, as of runs before any other")
@@ -448,11 +448,11 @@
         Duration, std::uint64_t>
         fields { former.id, former.service, former.address, former.zone, "v1", 4, former.state, former.kind, Duration(0), 40 };
     REQUIRE(disk::replaceFile(at.folder.path(), "replicas", disk::encodeRecord(encodeValue(std::vector { fields }))));
-    auto remembered = ReplicaMemory(at.folder.path(), at.log, at.refusals).load();
+    auto remembered = PersistedReplicas(at.folder.path(), at.log, at.refusals).load();
     REQUIRE(remembered.size() == 1);
     CHECK(remembered.front().sequence == 40);
     CHECK(remembered.front().start == unsaid);
     ReplicaRegistry registry;
-    registry.announce(remembered.front(), Registrar::rememberedAge, start);
+    registry.announce(remembered.front(), Registrar::restoredAge, start);
     CHECK(registry.announce(announcement(first, 1), 0s, start) == Change::Restarted);
 }
--- a/test/fuzz/FuzzTest.cpp
+++ b/test/fuzz/FuzzTest.cpp
@@ -14,7 +14,7 @@
 #include "Mutator.h"
 #include "connection/MessageCheck.h"
 #include "message/Codec.h"
-#include "process/DiskMemory.h"
+#include "process/PersistedList.h"
 #include "version/DiskFile.h"
 #include "version/LogStorage.h"
 
@@ -147,7 +147,7 @@
         require(!faultOf(*announcement), "an accepted announcement can be used");
     if (const auto* put = std::get_if<PutDocument>(&result.value()))
         checkDocument(put->document);
-    if (const auto* leaves = std::get_if<ReplicaLeaves>(&result.value()))
+    if (const auto* leaves = std::get_if<ReplicaWithdrawal>(&result.value()))
         require(isToken(leaves->id), "an id can stand in a path");
     return true;
 }
@@ -174,16 +174,16 @@
         at = end + 1;
     }
     auto words = Dialect::readCaller(request);
-    if (words.ask.callerTimeout)
-        requireSpan(*words.ask.callerTimeout);
+    if (words.metadata.callerTimeout)
+        requireSpan(*words.metadata.callerTimeout);
     forward::Send send;
     send.replica = { "i-1", {} };
-    send.timeLeft = words.ask.callerTimeout.value_or(1s);
-    send.resumeAfter = words.ask.resumeAfter;
+    send.timeLeft = words.metadata.callerTimeout.value_or(1s);
+    send.resumeAfter = words.metadata.resumeAfter;
     auto out = Dialect::upstreamRequest(request, send);
     require(out.bytes.find(": i-1\r\n") != std::string::npos, "the replica that is meant is named");
     (void)Dialect::readAnswer({ 200, request.headers }, words.id);
-    return words.ask.callerTimeout.has_value();
+    return words.metadata.callerTimeout.has_value();
 }
 
 bool message(const std::string& input)
@@ -200,8 +200,8 @@
 bool memory(const std::string& input)
 {
     // As it comes from a disk, and as another release may have written it.
-    (void)ReplicaMemory::read(input, [](const std::string&) {});
-    auto list = ReplicaMemory::read(
+    (void)PersistedReplicas::read(input, [](const std::string&) {});
+    auto list = PersistedReplicas::read(
         disk::encodeRecord(input), [](const std::string& why) { require(!why.empty() && why.size() < 400, "a reason is given"); });
     if (!list)
         return false;
--- a/test/performance/QuotaBench.cpp
+++ b/test/performance/QuotaBench.cpp
@@ -74,7 +74,7 @@
             m_reportMicros += microsSince(from);
             if (!report)
                 return;
-            QuotaReport message { report->uses, report->totalsSource == controller, report->asksForAll, report->told };
+            QuotaReport message { report->uses, report->totalsSource == controller, report->asksForAll, report->knownGateways };
             m_reported += static_cast<double>(encode(message).size());
             from = std::chrono::steady_clock::now();
             m_exchange.take(PeerId(100 + i), message, m_now);
--- a/test/support/ControllerFolder.h
+++ b/test/support/ControllerFolder.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "Folder.h"
-#include "process/DiskMemory.h"
+#include "process/PersistedList.h"
 
 #include <thread>
 
@@ -14,11 +14,11 @@
     Folder folder;
     LogSettings settings;
     EventLog log { settings, "test" };
-    Refusals refusals { log };
+    RefusalLog refusals { log };
 };
 
 /// Waits until the memory has written what it was given, as another start would find it.
-template <typename Entry> std::vector<Entry> written(const DiskMemory<Entry>& memory, std::size_t n)
+template <typename Entry> std::vector<Entry> written(const PersistedList<Entry>& memory, std::size_t n)
 {
     for (;;) {
         if (auto list = memory.load(); list.size() == n)
