--- a/src/process/ControlServer.h
+++ b/src/process/ControlServer.h
@@ -1,9 +1,9 @@
 /** \file
- * Where replicas announce themselves and operators send and read routing documents, over HTTP.
+ * The controller's HTTP server: replicas announce themselves to it, and operators write and read routing documents.
  *
- * The words of these calls are a dialect's; what they mean is decided here. An answer that can't be given for sure within the
- * time that callers wait is a 503, which sends them to another controller: an acknowledgement is given only for what a
- * majority has on disk, and a read only for what is known to be the newest.
+ * The dialect defines the format of the calls; their semantics are defined here. A write is acknowledged only once a majority of
+ * controllers has it on disk, and a read returns only what is known to be the newest version. If that can't be guaranteed within the time
+ * that callers wait, the response is a 503, upon which callers try another controller.
  */
 #pragma once
 
@@ -18,20 +18,20 @@
 
 namespace wrenhinge {
 
-/// A call to the door, decoded.
+/// Stores a routing document.
 struct PutDocument {
     RoutingDocument document;
-    std::string text; ///< As it was sent: it is read back like that.
+    std::string text; ///< As received; reads return it unchanged.
 };
 struct GetDocument { };
-/// A replica leaves for good.
+/// A replica withdraws permanently.
 struct ReplicaWithdrawal {
     std::string id;
-    std::optional<ReplicaStart> start; ///< Of the run that leaves, if it says.
+    std::optional<ReplicaStart> start; ///< Start of the run that withdraws, if stated.
 };
 using ControlCall = std::variant<Announcement, ReplicaWithdrawal, PutDocument, GetDocument>;
 
-/// The words in which a platform speaks to the door.
+/// The format of the calls and responses, which depends on the platform.
 template <typename D>
 concept ControlDialect = requires(const HttpRequest& request, const Error& error, const std::string& text)
 {
@@ -48,15 +48,15 @@
 
 template <ControlDialect Dialect> class ControlServer {
 public:
-    /// Callers wait a second for an answer; a proposal or a read is tried again until then, as an election may be under way.
+    /// Callers wait a second for a response. A proposal or a read is retried until this timeout, as an election may be in progress.
     static constexpr Duration responseTimeout = 850ms;
-    /// Time added for each byte of a document: callers wait longer for a large one, and its replication takes longer.
+    /// Added to the timeout for each byte of a document: callers wait longer for a large one, and its replication takes longer.
     static constexpr double microsPerByte = 5;
     static constexpr Duration retryInterval = 60ms;
-    /// A controller that lags behind the leader makes its change against a version that the leader has replaced. It has caught up by the
-    /// next heartbeat, after 120 ms at most, unless changes come faster than that; then the whole text is sent.
+    /// A controller that lags behind the leader sends a change against a version that the leader has replaced. It catches up with the
+    /// next heartbeat, after at most 120 ms, unless changes are more frequent than that. After this many attempts the whole text is sent.
     static constexpr int maxDeltaAttempts = 3;
-    /// A replica's announcement of a kept connection comes every second or so.
+    /// On a kept-alive connection, a replica announces itself about once a second.
     static constexpr Duration idleTime = 10s;
 
     explicit ControlServer(ControllerRole& role)
@@ -75,7 +75,7 @@
 private:
     static constexpr std::size_t bodyLimit = 16u << 20;
 
-    /// A proposal or a read on its way, tried until it succeeds or its time is over.
+    /// A pending proposal or read, retried until it succeeds or times out.
     struct PendingCall {
         std::shared_ptr<HttpAnswer> answer;
         std::function<void(ControllerRole::ReplyCallback)> send;
@@ -98,9 +98,10 @@
         } else if (const auto* withdrawal = std::get_if<ReplicaWithdrawal>(&call.value())) {
             if (auto limitReached = RegistryLimits::checkCapacity(m_role.registrar().registry(), withdrawal->id))
                 return refuse(*answer, request, *limitReached);
-            // An acknowledgement promises that nobody is sent to the replica: another controller may know it and can give that.
+            // The acknowledgement guarantees that the replica receives no more requests. Another controller may know the run and can
+            // guarantee that.
             if (!m_role.registrar().withdraw(withdrawal->id, withdrawal->start))
-                return reply(*answer, { ResultCode::NoUpstream, "no run of this replica is known here" });
+                return reply(*answer, { ResultCode::NoUpstream, "this controller knows no run of this replica" });
             answer->reply(200, jsonHeaders(), Dialect::announcementReply());
         } else if (auto* put = std::get_if<PutDocument>(&call.value())) {
             propose(std::move(*put), std::move(answer));
@@ -130,7 +131,7 @@
             currentInstant() + timeout, false, boost::asio::steady_timer(m_role.strand(), timeout) });
         pending->timer.async_wait([this, pending](ErrorCode ec) {
             if (!ec)
-                finish(*pending, unavailable("no majority of controllers has confirmed it in time"));
+                finish(*pending, unavailable("timed out waiting for a majority of controllers"));
         });
         attempt(pending);
     }
--- a/src/process/ControllerRole.cpp
+++ b/src/process/ControllerRole.cpp
@@ -12,8 +12,8 @@
     using Json = nlohmann::json;
 
     constexpr Duration proposalTimeout = 5s;
-    /// How long to wait before a disk that refused a write is tried again. A full or failing disk must not end the process:
-    /// it would be restarted into the same trouble, and the announcements that it takes need no disk.
+    /// Delay before storage is reopened after a failed write. A full or failing disk must not end the process: it would fail again after
+    /// its restart, and the announcements that it receives need no disk.
     constexpr Duration storageRetryInterval = 300ms;
 
     raft::Settings raftSettings(const Settings& settings, DiskId disk)
@@ -28,13 +28,14 @@
         for (const auto& member : controller.members)
             raft.members.push_back(member.name);
         bool isFounder = std::find(controller.seeds.begin(), controller.seeds.end(), raft.self) != controller.seeds.end();
-        // Who keeps nothing founds nothing: it would vote again for others after a restart.
+        // A controller without a disk can't found a cluster: after a restart it would not know its vote and could vote for another
+        // candidate in the same term.
         bool keepsLog = disk != DiskId();
         if (raft.isDynamic && raft.isNewCluster && isFounder && keepsLog)
             raft.members = controller.seeds;
         else if (raft.isDynamic)
             raft.isNewCluster = false;
-        // The founders' list is an entry of the log, the same one at each.
+        // The list of founders is an entry of the log, which must be identical at all of them.
         std::sort(raft.members.begin(), raft.members.end());
         raft.disk = disk;
         raft.electionTimeout = controller.electionTimeout;
@@ -60,11 +61,11 @@
             command.puts = json.value("puts", std::map<std::string, std::string>());
             command.removes = json.value("removes", std::vector<std::string>());
             if (command.changeId.empty())
-                return Error { ResultCode::BadConfiguration, "`change_id` is empty; give the change an id of its own" };
+                return Error { ResultCode::BadConfiguration, "`change_id` is empty; set it to a unique id for this change" };
             return command;
         } catch (const Json::exception& e) {
             return Error { ResultCode::BadConfiguration,
-                std::string("the change is not `number`, `change_id`, `puts`, `removes` in JSON: ") + e.what() };
+                std::string("invalid change; expected JSON with `number`, `change_id`, `puts` and `removes`: ") + e.what() };
         }
     }
 
@@ -110,7 +111,8 @@
     if (!recovered)
         return recovered.error();
     if (m_storage.truncatedBytes())
-        m_runtime.log().write({ EventCode::LogTailCut, {}, std::to_string(m_storage.truncatedBytes()) + " bytes of an unfinished write" });
+        m_runtime.log().write(
+            { EventCode::LogTailCut, {}, std::to_string(m_storage.truncatedBytes()) + " bytes of an incomplete write truncated" });
     m_logic = std::make_unique<ControllerLogic>(raftSettings(m_settings, m_storage.disk()), std::move(recovered.value()), currentInstant());
     startRegistrar();
     startCrashRelay();
@@ -125,7 +127,7 @@
         return peers.error();
     for (const auto& seed : m_settings.controller.seeds)
         m_hub.dial(seed);
-    // Of each pair one dials: the one whose name comes first.
+    // In each pair of controllers, the one whose name sorts first connects to the other.
     for (const auto& member : m_settings.controller.members) {
         if (m_settings.name < member.name)
             m_hub.dial(member.address);
@@ -134,7 +136,7 @@
     return Json { { "admin", adminAddress.value() }, { "peers", peers.value() } };
 }
 
-/// What the disk holds; nothing without one.
+/// Returns the state stored on disk; empty if the controller has no disk.
 Result<raft::Recovered> ControllerRole::recoverLog()
 {
     if (!hasDisk())
@@ -142,7 +144,7 @@
     return m_storage.open(m_settings.controller.data, DiskId(randomIdentity()));
 }
 
-/// Before anything listens, so that no announcement comes earlier than what is remembered.
+/// Called before the process listens, so that the stored replicas are loaded before the first announcement arrives.
 void ControllerRole::startRegistrar()
 {
     std::vector<Announcement> restored;
@@ -193,7 +195,7 @@
         sendRoster(other.id);
 }
 
-/// Nobody is told where all controllers are: each tells its links of the others, so that one seed that answers is enough.
+/// No setting lists all controllers. Each one sends its peers the addresses of the others, so that one reachable seed suffices.
 void ControllerRole::sendRoster(PeerId to)
 {
     ControllerRoster roster { { m_settings.listen } };
@@ -225,7 +227,7 @@
     post(controller::PeerMessage { peer, std::move(message) });
 }
 
-// --- The loop ---------------------------------------------------------------------------------------------------
+// --- Event loop -------------------------------------------------------------------------------------------------
 
 void ControllerRole::post(controller::Event event)
 {
@@ -270,7 +272,8 @@
     }
 }
 
-/// What could not be stored was told to nobody; the logic has counted on it, though, and is made anew from what is on the disk.
+/// Recreates the logic from the state on disk after a failed write. Nothing that depends on the unwritten records was sent, but the logic
+/// has already applied them.
 /// \returns false if the process is to stop.
 bool ControllerRole::reopenStorage()
 {
@@ -281,11 +284,11 @@
                 return false;
             m_queue.clear();
         }
-        // What waited in the queue has waiting callers, and a proposal's hold its whole text.
+        // The discarded events have waiting callers, and the callback of a proposal holds its whole text.
         failPendingReplies();
         auto recovered = recoverLog();
         if (isFirst || recovered)
-            m_runtime.log().write({ EventCode::StorageReopened, {}, recovered ? "read again" : recovered.error().message });
+            m_runtime.log().write({ EventCode::StorageReopened, {}, recovered ? "storage reopened" : recovered.error().message });
         if (!recovered)
             continue;
         m_logic
@@ -317,14 +320,14 @@
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-/// Carries a batch's effects out: first all records with one sync, then the rest in order.
+/// Executes a batch's effects: first stores all records with one sync, then executes the rest in order.
 bool ControllerRole::execute(ControllerLogic::Effects& effects)
 {
     Result<void> stored = BOOST_OUTCOME_V2_NAMESPACE::success();
     if (hasDisk())
         stored = store(effects);
     if (!stored) {
-        // What could not be stored must never be told to anyone: stop here, before any message leaves.
+        // State that was not stored must not be sent: stop before any message is sent.
         m_runtime.log().write({ EventCode::StorageReopened, {}, std::string(nameOf(stored.error().code)) + ": " + stored.error().message });
         failPendingReplies();
         return false;
@@ -365,7 +368,7 @@
     for (auto& [ticket, callback] : tickets) {
         ProposeReply reply;
         reply.code = ResultCode::ConfigUnavailable;
-        reply.text = "this controller's disk refuses writes; ask another one";
+        reply.text = "writing to this controller's disk failed; try another controller";
         callback(std::move(reply));
     }
 }
@@ -412,7 +415,7 @@
     if (request.path == "/config/history")
         return AdminPages::json(history());
     if (request.path == "/config/status")
-        return AdminPages::json(inForce());
+        return AdminPages::json(configStatus());
     if (request.path == "/metrics")
         return { 200, "text/plain; version=0.0.4", metrics() };
     return AdminPages::notFound(request.path);
@@ -440,7 +443,7 @@
 
 ProposeReply ControllerRole::proposeAndWait(Command command)
 {
-    // Shared with the callback, which may come after this call has given up.
+    // Shared with the callback, which may be called after this call has timed out.
     auto promise = std::make_shared<std::promise<ProposeReply>>();
     auto future = promise->get_future();
     propose(std::move(command), [promise](ProposeReply reply) { promise->set_value(std::move(reply)); });
@@ -452,7 +455,7 @@
     return reply;
 }
 
-/// What a controller's memory goes to stands beside its log: documents are the largest things that it holds, sends and stores.
+/// Besides the state of the log, contains what uses a controller's memory: documents are the largest data that it holds, sends and stores.
 std::string ControllerRole::metrics() const
 {
     auto queued = m_hub.queuedBytes();
@@ -497,7 +500,7 @@
     return list;
 }
 
-Json ControllerRole::inForce() const
+Json ControllerRole::configStatus() const
 {
     std::lock_guard lock(m_logicMutex);
     auto now = currentInstant();
--- a/src/process/QuotaRelay.cpp
+++ b/src/process/QuotaRelay.cpp
@@ -13,7 +13,7 @@
 
 void QuotaRelay::start()
 {
-    boost::asio::post(m_strand, [this] { tell(); });
+    boost::asio::post(m_strand, [this] { broadcast(); });
 }
 
 void QuotaRelay::peerUp(const Hello& peer)
@@ -32,14 +32,14 @@
     boost::asio::post(m_strand, [this, peer, report = std::move(report)] { m_aggregator.take(peer, report, currentInstant()); });
 }
 
-void QuotaRelay::tell()
+void QuotaRelay::broadcast()
 {
     for (const auto& [peer, totals] : m_aggregator.tell(currentInstant()))
         m_hub.send(peer, totals);
     m_timer.expires_after(quota::broadcastInterval);
     m_timer.async_wait([this](ErrorCode ec) {
         if (!ec)
-            tell();
+            broadcast();
     });
 }
 
--- a/src/process/Registrar.cpp
+++ b/src/process/Registrar.cpp
@@ -13,13 +13,13 @@
         || std::holds_alternative<RegistryRequest>(message) || std::holds_alternative<RegistryList>(message);
 }
 
-Registrar::Registrar(Strand strand, PeerHub& hub, EventLog& log, Duration countsAfter)
+Registrar::Registrar(Strand strand, PeerHub& hub, EventLog& log, Duration countDelay)
     : m_strand(std::move(strand))
     , m_hub(hub)
     , m_log(log)
     , m_timer(m_strand)
     , m_queryTimer(m_strand)
-    , m_gatewayCountDelay(countsAfter)
+    , m_gatewayCountDelay(countDelay)
 {
 }
 
@@ -45,7 +45,7 @@
 {
     if (peer.role == Role::Sidecar)
         return;
-    // Without a number of gateways, which the next heartbeat says if it is known.
+    // Without the number of gateways, which the next heartbeat contains if it is known.
     boost::asio::post(m_strand, [this, id = peer.id, role = peer.role] { m_hub.send(id, heartbeatFor(role, 0)); });
 }
 
@@ -75,9 +75,9 @@
     });
 }
 
-/// What comes in a list is passed on one by one only if it takes work away from a replica: that must reach all gateways within the time of
-/// a message. That a replica is there is found by the digest within a second, by each process that does not know it. Passed on too, a
-/// start of all controllers would tell each replica to each gateway as often as there are controllers.
+/// Entries of a list are forwarded one by one only if a replica must get no more work, since that must reach all gateways within the
+/// latency of one message. Processes that do not know a replica find it by the digest within a second. If these were forwarded too, after a
+/// start of all controllers each gateway would receive each replica once per controller.
 void Registrar::handleList(PeerId peer, const RegistryList& list)
 {
     m_follower.listReceived(peer);
@@ -116,7 +116,7 @@
     notifyIfChanged();
 }
 
-/// \returns whether it was news.
+/// \returns whether it changed the registry.
 bool Registrar::apply(const Announcement& announcement, Duration age)
 {
     auto former = m_registry.newestRun(announcement.id);
@@ -151,7 +151,7 @@
     std::vector<Announcement> list;
     std::map<std::string, std::uint64_t> changeCounts;
     for (const auto& [id, entry] : m_registry.entries()) {
-        // After a restart a crashed one would be asked first.
+        // A silent replica may have crashed; restored after a restart, it would be among the first to receive requests.
         if (entry.isSilent(now))
             continue;
         list.push_back(entry.announcement);
--- a/src/process/RegistryLimits.cpp
+++ b/src/process/RegistryLimits.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    /// Entries that nobody renews any more are dropped every second.
+    /// Expired entries are removed every second.
     constexpr Duration retryAfter = 1s;
 
     Error limitReached(const std::string& what) { return { ResultCode::Overloaded, what, retryAfter }; }
@@ -18,12 +18,12 @@
     if (registry.entries().contains(announcement.id))
         return std::nullopt;
     if (idCount(registry) >= maxIds)
-        return limitReached(
-            "`id` is new, and " + std::to_string(maxIds) + " replicas are known or remembered; wait until some are forgotten");
+        return limitReached("`id` is new, and " + std::to_string(maxIds)
+            + " replicas are known or recorded as withdrawn, which is the limit; retry after some have expired");
     count(registry, now);
     auto it = m_replicasPerService.find(announcement.service);
     if (it != m_replicasPerService.end() && it->second >= maxReplicasPerService)
-        return limitReached("`service` has " + std::to_string(it->second) + " replicas, which is the most; wait until some have ended");
+        return limitReached("`service` has " + std::to_string(it->second) + " replicas, which is the limit; retry after some have ended");
     ++m_replicasPerService[announcement.service];
     return std::nullopt;
 }
@@ -33,7 +33,7 @@
     bool isKnown = registry.entries().contains(withdrawn) || registry.withdrawn().contains(withdrawn);
     if (isKnown || idCount(registry) < maxIds)
         return std::nullopt;
-    return limitReached("`id` is not known here, and no more can be remembered for now");
+    return limitReached("`id` is unknown, and the limit of recorded ids is reached");
 }
 
 void RegistryLimits::count(const ReplicaRegistry& registry, Instant now)
