--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -31,9 +31,9 @@
 namespace wrenhinge {
 
 /// A caller's request, decoded.
-struct CallerWords {
+struct ParsedCallerRequest {
     std::string id; ///< The caller's own name for it, which the replica's answer repeats.
-    forward::RequestMetadata ask;
+    forward::RequestMetadata metadata;
 };
 
 /// The words in which a platform's callers and replicas speak.
@@ -43,7 +43,7 @@
 {
     {
         D::readCaller(request)
-        } -> std::same_as<CallerWords>;
+        } -> std::same_as<ParsedCallerRequest>;
     {
         D::upstreamRequest(request, send)
         } -> std::same_as<UpstreamRequest>;
@@ -179,10 +179,10 @@
         auto words = Dialect::readCaller(request);
         RequestId id { m_runtime.self(), ++m_lastSequence };
         answer->onGone = [this, id] { post(forward::CallerDisconnected { id }); };
-        words.ask.readFor = request.readFor;
-        words.ask.fingerprint = fingerprintOf({ request.method, request.host, request.target, request.body });
+        words.metadata.readFor = request.readFor;
+        words.metadata.fingerprint = fingerprintOf({ request.method, request.host, request.target, request.body });
         m_exchanges[id] = { std::move(request), std::move(words.id), std::move(answer), {} };
-        post(forward::Submit { id, std::move(words.ask) });
+        post(forward::Submit { id, std::move(words.metadata) });
     }
 
     bool isReady() const
@@ -222,8 +222,8 @@
 
     void carryDocument(document::Effect& effect)
     {
-        if (auto* ask = std::get_if<document::Ask>(&effect))
-            m_hub.send(ask->to, ask->request);
+        if (auto* request = std::get_if<document::Ask>(&effect))
+            m_hub.send(request->to, request->request);
         else if (auto* take = std::get_if<document::Install>(&effect))
             onDocument(*take);
         else if (auto* confirm = std::get_if<document::Confirm>(&effect))
@@ -425,7 +425,7 @@
             m_hub.leave(withPort(leave.engineAddress, m_settings.sidecarPort));
     }
 
-    void carry(forward::FetchRegistry& ask) { m_hub.send(ask.controller, ask.request); }
+    void carry(forward::FetchRegistry& fetch) { m_hub.send(fetch.controller, fetch.request); }
 
     void carry(forward::ReportLoad& load) { tellControllers(load.report); }
 
--- a/test/fuzz/FuzzTest.cpp
+++ b/test/fuzz/FuzzTest.cpp
@@ -174,16 +174,16 @@
         at = end + 1;
     }
     auto words = Dialect::readCaller(request);
-    if (words.ask.callerTimeout)
-        requireSpan(*words.ask.callerTimeout);
+    if (words.metadata.callerTimeout)
+        requireSpan(*words.metadata.callerTimeout);
     forward::Send send;
     send.replica = { "i-1", {} };
-    send.timeLeft = words.ask.callerTimeout.value_or(1s);
-    send.resumeAfter = words.ask.resumeAfter;
+    send.timeLeft = words.metadata.callerTimeout.value_or(1s);
+    send.resumeAfter = words.metadata.resumeAfter;
     auto out = Dialect::upstreamRequest(request, send);
     require(out.bytes.find(": i-1\r\n") != std::string::npos, "the replica that is meant is named");
     (void)Dialect::readAnswer({ 200, request.headers }, words.id);
-    return words.ask.callerTimeout.has_value();
+    return words.metadata.callerTimeout.has_value();
 }
 
 bool message(const std::string& input)
