--- a/src/process/Daemon.h
+++ b/src/process/Daemon.h
@@ -1,5 +1,5 @@
 /** \file
- * Runs one role as a daemon: options, settings, start, signals. The programs differ only in the roles that they know.
+ * Runs a role as a daemon: command line, settings, startup, signals. The daemon programs differ only in the roles they support.
  */
 #pragma once
 
@@ -26,7 +26,7 @@
     bool showVersion = false;
 };
 
-/// Reads the command line. \returns the exit code if the process is to end, or nothing to go on.
+/// Parses the command line. \returns the exit code if the process must exit, or nullopt to continue.
 std::optional<int> readDaemonOptions(int argc, const char** argv, DaemonOptions&);
 
 template <typename RoleType>
@@ -37,7 +37,7 @@
     role.reload(settings);
 };
 
-/// A second reading of the settings may change the log level, the accounts and the seeds; the rest needs a restart.
+/// Reads the settings file again. Only the log level, the accounts and the addresses of controllers can change; all else needs a restart.
 template <DaemonRole RoleType> void reloadRole(const std::string& file, Runtime& runtime, RoleType& role)
 {
     auto settings = readSettings(file);
@@ -67,7 +67,7 @@
         settings.workers, [&role] { role.drain(); }, [&] { reloadRole(file, runtime, role); });
 }
 
-/// Reads options and settings and hands them to `run`.
+/// Parses the command line, reads the settings and calls `run` with them. \returns the exit code.
 template <typename Run> int daemonMain(int argc, const char** argv, Run run)
 {
     DaemonOptions options;
@@ -83,11 +83,12 @@
         return daemon_exit::ok;
     }
     int code = run(settings.value(), options.settingsFile);
-    // Everything of ours is gone by now. The logging library's idle threads are not: where they are slow to be scheduled, its
-    // own ending held stopped processes until they were killed at the end of their grace (10 of 10 in a day of restarts).
+    // All objects of the role are destroyed by now, but the logging library's idle threads still run. If they are scheduled late,
+    // the library's own shutdown blocks: stopped processes hung until they were killed at the end of their grace period (10 of 10 in a day
+    // of restarts).
     std::cout.flush();
     std::fflush(nullptr);
-#ifndef __SANITIZE_ADDRESS__ // The search for leaks runs at the ordinary end.
+#ifndef __SANITIZE_ADDRESS__ // LeakSanitizer runs at normal exit.
     ::_exit(code);
 #endif
     return code;
--- a/src/process/ForwardMetrics.cpp
+++ b/src/process/ForwardMetrics.cpp
@@ -8,9 +8,9 @@
     ++m_requests[{ finished.route, finished.code }];
     m_resends += finished.sends > 1 ? finished.sends - 1 : 0;
     if (finished.timeToFirstByte)
-        m_untilFirst.add(*finished.timeToFirstByte);
+        m_timeToFirstByte.add(*finished.timeToFirstByte);
     if (finished.reservationWait > Duration::zero())
-        m_waitedForPlace.add(finished.reservationWait);
+        m_reservationWait.add(finished.reservationWait);
 }
 
 void ForwardMetrics::setGauge(const std::string& name, double value)
@@ -29,8 +29,8 @@
     }
     out += "# HELP wrenhinge_resends_total Sends after the first.\n# TYPE wrenhinge_resends_total counter\n";
     out += "wrenhinge_resends_total " + std::to_string(m_resends) + "\n";
-    m_untilFirst.print(out, "wrenhinge_first_byte_seconds", "Time to the first byte of an answer.");
-    m_waitedForPlace.print(out, "wrenhinge_place_wait_seconds", "Time that a request waited for a place at a decode replica.");
+    m_timeToFirstByte.print(out, "wrenhinge_first_byte_seconds", "Time to the first byte of an answer.");
+    m_reservationWait.print(out, "wrenhinge_place_wait_seconds", "Time that a request waited for a place at a decode replica.");
     for (const auto& [name, value] : m_gauges)
         out += metricGauge(name, value);
     return out;
--- a/src/process/ForwardMetrics.h
+++ b/src/process/ForwardMetrics.h
@@ -1,5 +1,5 @@
 /** \file
- * What a gateway without sidecars measures, and its text form for Prometheus.
+ * Metrics of a gateway that calls upstreams itself, and their Prometheus text format.
  */
 #pragma once
 
@@ -16,15 +16,15 @@
 public:
     void record(const forward::Finished&);
     void setGauge(const std::string& name, double value);
-    /// The Prometheus text form. Times are in seconds.
+    /// The Prometheus text format. Times are in seconds.
     [[nodiscard]] std::string text() const;
 
 private:
-    mutable std::mutex m_mutex; ///< Guards what follows; nothing else is locked under it.
+    mutable std::mutex m_mutex; ///< Guards the members below; no other lock is acquired while it is held.
     std::map<std::pair<std::string, ResultCode>, std::uint64_t> m_requests;
     std::uint64_t m_resends = 0;
-    TimeHistogram m_untilFirst { 1e-3, 60 };
-    TimeHistogram m_waitedForPlace { 1e-3, 60 };
+    TimeHistogram m_timeToFirstByte { 1e-3, 60 };
+    TimeHistogram m_reservationWait { 1e-3, 60 };
     std::map<std::string, double> m_gauges;
 };
 
--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -1,9 +1,9 @@
 /** \file
- * The gateway that calls upstreams itself, as a process: ForwardLogic between callers' connections, kept connections to
- * replicas, and links to controllers.
+ * The process role of a gateway that calls upstreams itself: it connects ForwardLogic to the callers' connections, a pool of
+ * persistent connections to replicas, and connections to controllers.
  *
- * Everything about requests runs on one strand. Effects are carried out after the logic's step has returned, never from
- * within it: a connection that fails at once would otherwise enter the logic again.
+ * All request processing runs on one strand. Effects are executed after the logic's step has returned, never during it: a
+ * connection that fails immediately would otherwise re-enter the logic.
  */
 #pragma once
 
@@ -30,13 +30,13 @@
 
 namespace wrenhinge {
 
-/// A caller's request, decoded.
+/// A caller's request, parsed.
 struct ParsedCallerRequest {
-    std::string id; ///< The caller's own name for it, which the replica's answer repeats.
+    std::string id; ///< The request id that the caller assigned; the replica's answer repeats it.
     forward::RequestMetadata metadata;
 };
 
-/// The words in which a platform's callers and replicas speak.
+/// Parses and formats the requests and answers of a platform's callers and replicas.
 template <typename D>
 concept ForwardDialect
     = requires(const HttpRequest& request, const UpstreamHead& head, const forward::Send& send, const Error& error, const std::string& text)
@@ -81,8 +81,9 @@
 
 template <ForwardDialect Dialect> class ForwardRole {
 public:
-    /// After SIGTERM a balancer takes up to two failed checks, a second apart, to send callers elsewhere.
-    static constexpr Duration acceptWhileDraining = 2600ms;
+    /// New requests are accepted for this long after SIGTERM: a load balancer needs up to two failed readiness checks, one second apart,
+    /// to redirect callers.
+    static constexpr Duration drainAcceptPeriod = 2600ms;
 
     ForwardRole(const Settings& settings, Runtime& runtime)
         : m_settings(settings)
@@ -108,7 +109,7 @@
         , m_pool(m_strand)
         , m_pages(settings, runtime, { [this] { return isReady(); }, [this] { return m_hub.peers(); } })
         , m_documents(
-              runtime.timers(), [this](document::Effect& effect) { carryDocument(effect); }, document::Tick {}, randomIdentity())
+              runtime.timers(), [this](document::Effect& effect) { executeDocumentEffect(effect); }, document::Tick {}, randomIdentity())
         , m_driver(
               runtime.timers(), [this](forward::Effect& effect) { m_effects.push_back(std::move(effect)); }, forward::Tick {},
               ForwardLogic::Settings { settings.zone, randomIdentity(), settings.retries, settings.name, settings.quotas })
@@ -139,12 +140,13 @@
             m_isDraining = true;
             m_callers.announceClose();
             post(forward::Stop { currentInstant() + m_settings.drainLimit });
-            m_runtime.waitUntil([] { return false; }, acceptWhileDraining,
+            m_runtime.waitUntil([] { return false; }, drainAcceptPeriod,
                 [this](bool) {
                     boost::asio::post(m_strand, [this] { m_callers.closeIdle(); });
-                    m_runtime.waitUntil([this] { return !m_callers.connections(); }, m_settings.drainLimit - acceptWhileDraining,
-                        [this](bool isDone) {
-                            m_runtime.log().write({ EventCode::ProcessStopped, {}, isDone ? "all answered" : "with requests unanswered" });
+                    m_runtime.waitUntil([this] { return !m_callers.connections(); }, m_settings.drainLimit - drainAcceptPeriod,
+                        [this](bool isDrained) {
+                            m_runtime.log().write(
+                                { EventCode::ProcessStopped, {}, isDrained ? "all answered" : "with requests unanswered" });
                             m_runtime.finish(0);
                         });
                 });
@@ -158,7 +160,7 @@
     }
 
 private:
-    /// A request in progress: its bytes, its caller, and the call that serves it.
+    /// A request in progress, the answer to its caller, and the current call to a replica.
     struct Exchange {
         HttpRequest request;
         std::string callerId;
@@ -166,23 +168,23 @@
         UpstreamPool::Call call;
     };
 
-    // --- Events in ---------------------------------------------------------------------------------------------
+    // --- Events -------------------------------------------------------------------------------------------------
 
     void post(const forward::Event& event)
     {
         m_driver.post(event);
-        boost::asio::post(m_strand, [this] { carryAll(); });
+        boost::asio::post(m_strand, [this] { executeEffects(); });
     }
 
     void onRequest(HttpRequest&& request, std::shared_ptr<HttpAnswer> answer)
     {
-        auto words = Dialect::readCaller(request);
+        auto parsed = Dialect::readCaller(request);
         RequestId id { m_runtime.self(), ++m_lastSequence };
         answer->onGone = [this, id] { post(forward::CallerDisconnected { id }); };
-        words.metadata.readFor = request.readFor;
-        words.metadata.fingerprint = fingerprintOf({ request.method, request.host, request.target, request.body });
-        m_exchanges[id] = { std::move(request), std::move(words.id), std::move(answer), {} };
-        post(forward::Submit { id, std::move(words.metadata) });
+        parsed.metadata.readFor = request.readFor;
+        parsed.metadata.fingerprint = fingerprintOf({ request.method, request.host, request.target, request.body });
+        m_exchanges[id] = { std::move(request), std::move(parsed.id), std::move(answer), {} };
+        post(forward::Submit { id, std::move(parsed.metadata) });
     }
 
     bool isReady() const
@@ -220,37 +222,37 @@
         }
     }
 
-    void carryDocument(document::Effect& effect)
+    void executeDocumentEffect(document::Effect& effect)
     {
         if (auto* request = std::get_if<document::Ask>(&effect))
             m_hub.send(request->to, request->request);
-        else if (auto* take = std::get_if<document::Install>(&effect))
-            onDocument(*take);
+        else if (auto* install = std::get_if<document::Install>(&effect))
+            onDocument(*install);
         else if (auto* confirm = std::get_if<document::Confirm>(&effect))
             post(forward::DocumentConfirmed { confirm->version });
-        else if (auto* note = std::get_if<LogEvent>(&effect))
-            m_runtime.log().write(*note);
+        else if (auto* event = std::get_if<LogEvent>(&effect))
+            m_runtime.log().write(*event);
     }
 
-    void onDocument(const document::Install& take)
+    void onDocument(const document::Install& install)
     {
-        auto document = m_reader.read(*take.text);
+        auto document = m_reader.read(*install.text);
         if (!document) {
-            // Controllers accept only what this very decoder accepts, so theirs must be of another release.
+            // Controllers accept only documents that this decoder accepts, so the controller must run another release.
             m_runtime.log().write({ EventCode::DocumentRefused, {}, document.error().message });
             return;
         }
-        post(forward::DocumentReceived { std::move(document.value()), take.isCurrent });
+        post(forward::DocumentReceived { std::move(document.value()), install.isCurrent });
     }
 
-    // --- Effects out -------------------------------------------------------------------------------------------
+    // --- Effects ------------------------------------------------------------------------------------------------
 
-    void carryAll()
+    void executeEffects()
     {
         std::vector<forward::Effect> effects;
         m_driver.inspect([this, &effects](const ForwardLogic&) { effects = std::exchange(m_effects, {}); });
         for (auto& effect : effects)
-            std::visit([this](auto& e) { carry(e); }, effect);
+            std::visit([this](auto& e) { execute(e); }, effect);
     }
 
     Exchange* find(const RequestId& id)
@@ -259,12 +261,12 @@
         return it == m_exchanges.end() ? nullptr : &it->second;
     }
 
-    void carry(forward::Send& send)
+    void execute(forward::Send& send)
     {
         auto* exchange = find(send.id);
         if (!exchange)
             return;
-        auto handlers = send.isPrefill ? prefillHandlers(send, exchange->callerId) : runHandlers(send, exchange->callerId);
+        auto handlers = send.isPrefill ? prefillHandlers(send, exchange->callerId) : answerHandlers(send, exchange->callerId);
         handlers.whose = [caller = exchange->callerId](const UpstreamHead& head) { return Dialect::whose(head, caller); };
         handlers.onFailure = [this, id = send.id, attempt = send.attempt](bool mayHaveRun, const std::string& why) {
             post(forward::CallFailed { id, attempt, mayHaveRun, why });
@@ -272,7 +274,7 @@
         exchange->call = m_pool.call(send.replica, send.address, Dialect::upstreamRequest(exchange->request, send), std::move(handlers));
     }
 
-    UpstreamCallHandlers runHandlers(const forward::Send& send, const std::string& caller)
+    UpstreamCallHandlers answerHandlers(const forward::Send& send, const std::string& caller)
     {
         UpstreamCallHandlers handlers;
         auto id = send.id;
@@ -287,45 +289,45 @@
         return handlers;
     }
 
-    /// Whether the replica did what a call of our own asked, and whether it states that it did nothing.
-    struct OwnAnswer {
+    /// Result of a call that the gateway makes for itself, such as a reservation; its answer isn't passed on to the caller.
+    struct ControlCallResult {
         bool isSuccess = false;
-        bool wasNotRun = false;
-        bool isMisdirected = false;
+        bool wasNotRun = false; ///< See AnswerMetadata.
+        bool isMisdirected = false; ///< See AnswerMetadata.
     };
 
-    static OwnAnswer readOwnAnswer(const GatheredAnswer& answer, const std::string& caller)
+    static ControlCallResult readControlCallResult(const GatheredAnswer& answer, const std::string& caller)
     {
-        auto facts = Dialect::readAnswer(answer.head, caller);
-        return { answer.head.status == 200 && !facts.wasNotRun && !facts.isStream, facts.wasNotRun, facts.isMisdirected };
+        auto metadata = Dialect::readAnswer(answer.head, caller);
+        return { answer.head.status == 200 && !metadata.wasNotRun && !metadata.isStream, metadata.wasNotRun, metadata.isMisdirected };
     }
 
     UpstreamCallHandlers prefillHandlers(const forward::Send& send, const std::string& caller)
     {
         auto onEnd = [this, caller, id = send.id, attempt = send.attempt, replica = send.replica](const GatheredAnswer& answer) {
-            auto own = readOwnAnswer(answer, caller);
-            auto handle = own.isSuccess ? Dialect::readPrefill(answer.body) : std::nullopt;
-            if (own.isSuccess && !handle)
+            auto result = readControlCallResult(answer, caller);
+            auto handle = result.isSuccess ? Dialect::readPrefill(answer.body) : std::nullopt;
+            if (result.isSuccess && !handle)
                 m_runtime.refusals().note(Door::Report, replica.id, "its answer to a prompt names no usable handle");
             if (handle)
                 post(forward::PrefillFinished { id, attempt, std::move(*handle) });
             else
-                post(forward::PrefillFailed { id, attempt, own.wasNotRun, own.isMisdirected });
+                post(forward::PrefillFailed { id, attempt, result.wasNotRun, result.isMisdirected });
         };
         return gather(onEnd, {});
     }
 
-    void carry(forward::ReserveAtReplica& take)
+    void execute(forward::ReserveAtReplica& reserve)
     {
-        auto* exchange = find(take.id);
+        auto* exchange = find(reserve.id);
         if (!exchange)
             return;
-        auto id = take.id;
-        auto attempt = take.attempt;
-        auto onEnd = [this, caller = exchange->callerId, id, attempt, replica = take.replica](const GatheredAnswer& answer) {
-            bool isTaken = readOwnAnswer(answer, caller).isSuccess;
-            auto reservation = isTaken ? Dialect::readPlace(answer.body) : std::nullopt;
-            if (isTaken && !reservation)
+        auto id = reserve.id;
+        auto attempt = reserve.attempt;
+        auto onEnd = [this, caller = exchange->callerId, id, attempt, replica = reserve.replica](const GatheredAnswer& answer) {
+            bool isGranted = readControlCallResult(answer, caller).isSuccess;
+            auto reservation = isGranted ? Dialect::readPlace(answer.body) : std::nullopt;
+            if (isGranted && !reservation)
                 m_runtime.refusals().note(Door::Report, replica.id, "its answer names no usable place");
             if (reservation)
                 post(forward::ReservationGranted { id, attempt, std::move(*reservation) });
@@ -333,10 +335,10 @@
                 post(forward::ReservationRefused { id, attempt, true });
         };
         auto onFailure = [this, id, attempt](bool, const std::string&) { post(forward::ReservationRefused { id, attempt, false }); };
-        exchange->call = m_pool.call(take.replica, take.address, Dialect::takePlace(take), gather(onEnd, onFailure));
+        exchange->call = m_pool.call(reserve.replica, reserve.address, Dialect::takePlace(reserve), gather(onEnd, onFailure));
     }
 
-    void carry(forward::ReserveAtSidecar& reserve)
+    void execute(forward::ReserveAtSidecar& reserve)
     {
         auto* exchange = find(reserve.id);
         if (!exchange)
@@ -346,112 +348,118 @@
                 reserve.maxOutputTokens, reserve.slots });
     }
 
-    void carry(forward::NotifyPrefill& note) { m_hub.send(note.sidecar, PrefillNotice { note.id, note.promptTokens, note.hasEnded }); }
+    void execute(forward::NotifyPrefill& notify)
+    {
+        m_hub.send(notify.sidecar, PrefillNotice { notify.id, notify.promptTokens, notify.hasEnded });
+    }
 
-    void carry(forward::EndSidecarReservation& end) { m_hub.send(end.sidecar, ReservationEnd { end.id, end.isComplete, end.hasFailed }); }
+    void execute(forward::EndSidecarReservation& end) { m_hub.send(end.sidecar, ReservationEnd { end.id, end.isComplete, end.hasFailed }); }
 
-    void carry(forward::ReleaseReservation& drop)
+    void execute(forward::ReleaseReservation& release)
     {
-        tell(drop.reservation.replica, drop.reservation.address, Dialect::dropPlace(drop.reservation));
+        callBestEffort(release.reservation.replica, release.reservation.address, Dialect::dropPlace(release.reservation));
     }
 
-    void carry(forward::ReleaseKvCache& free) { tell(free.source.replica, free.source.address, Dialect::freePrompt(free.source)); }
+    void execute(forward::ReleaseKvCache& release)
+    {
+        callBestEffort(release.source.replica, release.source.address, Dialect::freePrompt(release.source));
+    }
 
-    /// A call that gives something back. What can't be given back lapses by itself within its hold, so nobody hears of a failure.
-    void tell(const ReplicaRun& replica, const std::string& address, UpstreamRequest request)
+    /// Releases something at a replica. A failure is ignored: what isn't released expires at the end of its hold time.
+    void callBestEffort(const ReplicaRun& replica, const std::string& address, UpstreamRequest request)
     {
         m_pool.call(replica, address, std::move(request), gather([](const GatheredAnswer&) {}, [](bool, const std::string&) {}));
     }
 
-    void carry(forward::CancelCall& cancel)
+    void execute(forward::CancelCall& cancel)
     {
         if (auto* exchange = find(cancel.id))
             UpstreamPool::cancel(exchange->call);
     }
 
-    void carry(forward::Reply& reply)
+    void execute(forward::Reply& reply)
     {
-        if (auto answer = take(reply.id))
+        if (auto answer = removeExchange(reply.id))
             answer->reply(reply.status, reply.headers, std::move(reply.body));
     }
 
-    void carry(forward::Refuse& refuse)
+    void execute(forward::Refuse& refuse)
     {
         auto* exchange = find(refuse.id);
         if (!exchange)
             return;
         auto headers = Dialect::errorHeaders(refuse.error, exchange->callerId);
-        take(refuse.id)->reply(httpStatusOf(refuse.error.code), headers, Dialect::errorBody(refuse.error));
+        removeExchange(refuse.id)->reply(httpStatusOf(refuse.error.code), headers, Dialect::errorBody(refuse.error));
     }
 
-    void carry(forward::BeginStream& begin)
+    void execute(forward::BeginStream& begin)
     {
         if (auto* exchange = find(begin.id))
             exchange->answer->begin(begin.status, begin.headers);
     }
 
-    void carry(forward::StreamBytes& bytes)
+    void execute(forward::StreamBytes& bytes)
     {
         if (auto* exchange = find(bytes.id))
             exchange->answer->write(std::move(bytes.bytes));
     }
 
-    void carry(forward::EndStream& end)
+    void execute(forward::EndStream& end)
     {
-        if (auto answer = take(end.id))
+        if (auto answer = removeExchange(end.id))
             answer->end();
     }
 
-    void carry(forward::AbortStream& end)
+    void execute(forward::AbortStream& abort)
     {
-        if (auto answer = take(end.id))
+        if (auto answer = removeExchange(abort.id))
             answer->breakOff();
     }
 
-    void carry(forward::Finished& finished) { m_metrics.record(finished); }
+    void execute(forward::Finished& finished) { m_metrics.record(finished); }
 
-    void carry(forward::DropConnections& forget) { m_pool.forget(forget.replica); }
+    void execute(forward::DropConnections& drop) { m_pool.forget(drop.replica); }
 
-    /// The sidecar of an engine listens on its machine.
-    void carry(forward::ConnectSidecar& link)
+    /// The sidecar of an engine runs on the engine's host.
+    void execute(forward::ConnectSidecar& connect)
     {
         if (m_settings.sidecarPort)
-            m_hub.dial(withPort(link.engineAddress, m_settings.sidecarPort));
+            m_hub.dial(withPort(connect.engineAddress, m_settings.sidecarPort));
     }
 
-    void carry(forward::DisconnectSidecar& leave)
+    void execute(forward::DisconnectSidecar& disconnect)
     {
         if (m_settings.sidecarPort)
-            m_hub.leave(withPort(leave.engineAddress, m_settings.sidecarPort));
+            m_hub.leave(withPort(disconnect.engineAddress, m_settings.sidecarPort));
     }
 
-    void carry(forward::FetchRegistry& fetch) { m_hub.send(fetch.controller, fetch.request); }
+    void execute(forward::FetchRegistry& fetch) { m_hub.send(fetch.controller, fetch.request); }
 
-    void carry(forward::ReportLoad& load) { tellControllers(load.report); }
+    void execute(forward::ReportLoad& load) { sendToControllers(load.report); }
 
-    void carry(forward::ReportCrashes& tell)
+    void execute(forward::ReportCrashes& crashes)
     {
-        if (tell.controller)
-            m_hub.send(*tell.controller, tell.report);
+        if (crashes.controller)
+            m_hub.send(*crashes.controller, crashes.report);
         else
-            tellControllers(tell.report);
+            sendToControllers(crashes.report);
     }
 
-    void carry(forward::ReportQuotaUsage& use)
+    void execute(forward::ReportQuotaUsage& usage)
     {
-        const auto& report = use.report;
-        tellControllers([&report](PeerId to) {
+        const auto& report = usage.report;
+        sendToControllers([&report](PeerId to) {
             return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.told };
         });
     }
 
-    void tellControllers(const Message& message)
+    void sendToControllers(const Message& message)
     {
-        tellControllers([&message](PeerId) -> const Message& { return message; });
+        sendToControllers([&message](PeerId) -> const Message& { return message; });
     }
 
-    /// \param messageFor makes the message to one of them.
-    template <std::invocable<PeerId> F> void tellControllers(F messageFor)
+    /// \param messageFor returns the message for the controller with this id.
+    template <std::invocable<PeerId> F> void sendToControllers(F messageFor)
     {
         for (const auto& peer : m_hub.peers()) {
             if (peer.role == Role::Controller)
@@ -459,7 +467,7 @@
         }
     }
 
-    void carry(forward::SetLimits& set)
+    void execute(forward::SetLimits& set)
     {
         HttpServer::Limits limits;
         limits.headerBytes = set.limits.headerBytes;
@@ -470,14 +478,14 @@
         m_callers.setLimits(limits);
     }
 
-    void carry(LogEvent& note)
+    void execute(LogEvent& event)
     {
-        if (auto* exchange = find(note.request))
-            note.text += " (" + exchange->callerId + ")";
-        m_runtime.log().write(note);
+        if (auto* exchange = find(event.request))
+            event.text += " (" + exchange->callerId + ")";
+        m_runtime.log().write(event);
     }
 
-    // --- Operators ---------------------------------------------------------------------------------------------
+    // --- Admin pages --------------------------------------------------------------------------------------------
 
     AdminReply answerAdmin(const AdminRequest& request)
     {
@@ -498,8 +506,8 @@
             m_metrics.setGauge("wrenhinge_document_version", static_cast<double>(logic.documentVersion()));
             m_metrics.setGauge("wrenhinge_keys_refused_total", static_cast<double>(logic.refusedKeys()));
         });
-        auto ofAccounts = m_driver.modify([](ForwardLogic& logic) { return accountMetrics(logic.quotas()); });
-        return { 200, "text/plain; version=0.0.4", m_metrics.text() + ofAccounts + m_runtime.refusals().metrics() };
+        auto quotaMetrics = m_driver.modify([](ForwardLogic& logic) { return accountMetrics(logic.quotas()); });
+        return { 200, "text/plain; version=0.0.4", m_metrics.text() + quotaMetrics + m_runtime.refusals().metrics() };
     }
 
     nlohmann::json status()
@@ -517,7 +525,7 @@
         return json;
     }
 
-    /// The replicas as this gateway knows them, in the form that `wrenhinge upstream list` reads.
+    /// The replicas known to this gateway, in the format that `wrenhinge upstream list` reads.
     nlohmann::json upstreams() const
     {
         return m_driver.inspect([](const ForwardLogic& logic) {
@@ -540,8 +548,8 @@
         });
     }
 
-    /// Ends an exchange. \returns where its answer goes.
-    std::shared_ptr<HttpAnswer> take(const RequestId& id)
+    /// Removes an exchange. \returns its answer to the caller, or null if there is no such exchange.
+    std::shared_ptr<HttpAnswer> removeExchange(const RequestId& id)
     {
         auto it = m_exchanges.find(id);
         if (it == m_exchanges.end())
@@ -561,13 +569,13 @@
     AdminPages m_pages;
     ForwardMetrics m_metrics;
     std::vector<forward::Effect> m_effects; ///< Guarded by the driver's lock.
-    typename Dialect::DocumentReader m_reader; ///< Only under the lock of m_documents.
-    LogicDriver<DocumentFollower, document::Event, document::Effect> m_documents; ///< Its lock is taken before m_driver's.
+    typename Dialect::DocumentReader m_reader; ///< Guarded by the lock of m_documents.
+    LogicDriver<DocumentFollower, document::Event, document::Effect> m_documents; ///< Its lock is acquired before m_driver's.
     LogicDriver<ForwardLogic, forward::Event, forward::Effect> m_driver;
-    std::unordered_map<RequestId, Exchange> m_exchanges; ///< Only on the strand.
+    std::unordered_map<RequestId, Exchange> m_exchanges; ///< Accessed only on the strand.
     std::uint64_t m_lastSequence = 0;
     std::atomic<bool> m_isDraining = false;
-    AdminServer m_adminServer; ///< Last: its threads look at everything above.
+    AdminServer m_adminServer; ///< Declared last, so destroyed first: its threads access the members above.
 };
 
 } // namespace wrenhinge
--- a/src/process/GatewayRole.cpp
+++ b/src/process/GatewayRole.cpp
@@ -48,7 +48,7 @@
            },
               [this](const RequestId& id) { m_driver.post(gateway::CallerGone { id }); } })
     , m_driver(
-          runtime.timers(), [this](gateway::Effect& effect) { carry(effect); }, gateway::Tick {}, randomIdentity())
+          runtime.timers(), [this](gateway::Effect& effect) { executeEffect(effect); }, gateway::Tick {}, randomIdentity())
     , m_pages(settings, runtime, { [this] { return isReady(); }, [this] { return m_hub.peers(); } })
 {
 }
@@ -72,13 +72,14 @@
     return Json { { "admin", adminAddress.value() }, { "peers", peers.value() }, { "callers", callers.value() } };
 }
 
-/// Before its first configuration a gateway would serve by defaults; a balancer should send elsewhere for that moment. A site
-/// that has never been configured, or is cut off from everybody who knows, is served by defaults after a while.
+/// Until a gateway receives its first configuration it would use the defaults, so load balancers should use other gateways meanwhile.
+/// After `firstConfigurationWait` it serves with the defaults: the site may never have been configured, or no process that has the
+/// configuration may be reachable.
 bool GatewayRole::isReady() const
 {
-    bool hasWaited = m_settings.controllers.empty() || currentInstant() - m_startedAt > firstConfigurationWait;
-    return m_driver.inspect([hasWaited](const GatewayLogic& logic) {
-        return !logic.isDraining() && (hasWaited || logic.configuration().version() != ConfigVersion());
+    bool mayUseDefaults = m_settings.controllers.empty() || currentInstant() - m_startedAt > firstConfigurationWait;
+    return m_driver.inspect([mayUseDefaults](const GatewayLogic& logic) {
+        return !logic.isDraining() && (mayUseDefaults || logic.configuration().version() != ConfigVersion());
     });
 }
 
@@ -90,7 +91,7 @@
         m_runtime.log().write({ EventCode::SettingsReloaded, {}, "accounts kept as they were: " + loaded.error().message });
 }
 
-void GatewayRole::leave()
+void GatewayRole::shutDown()
 {
     m_callers.stopAccepting();
     auto isFlushed = [this] { return !m_callers.unfinished(); };
@@ -103,26 +104,26 @@
 
 // --- Effects ----------------------------------------------------------------------------------------------------
 
-void GatewayRole::carry(gateway::Effect& effect)
+void GatewayRole::executeEffect(gateway::Effect& effect)
 {
-    std::visit([this](auto& e) { carryOut(e); }, effect);
+    std::visit([this](auto& e) { execute(e); }, effect);
 }
 
-void GatewayRole::carryOut(gateway::Send& e) { m_hub.send(e.to, e.message); }
-void GatewayRole::carryOut(gateway::AnswerHead& e) { m_callers.head(e.request, e.status, std::move(e.headers)); }
-void GatewayRole::carryOut(gateway::AnswerData& e) { m_callers.data(e.request, std::move(e.bytes)); }
-void GatewayRole::carryOut(gateway::AnswerEnd& e) { m_callers.end(e.request); }
-void GatewayRole::carryOut(gateway::AnswerError& e) { m_callers.error(e.request, e.error); }
-void GatewayRole::carryOut(gateway::AnswerAborted& e) { m_callers.breakOff(e.request, e.error); }
-void GatewayRole::carryOut(gateway::Finished& e) { m_metrics.record(e.summary); }
-void GatewayRole::carryOut(LogEvent& e) { m_runtime.log().write(e); }
+void GatewayRole::execute(gateway::Send& e) { m_hub.send(e.to, e.message); }
+void GatewayRole::execute(gateway::AnswerHead& e) { m_callers.head(e.request, e.status, std::move(e.headers)); }
+void GatewayRole::execute(gateway::AnswerData& e) { m_callers.data(e.request, std::move(e.bytes)); }
+void GatewayRole::execute(gateway::AnswerEnd& e) { m_callers.end(e.request); }
+void GatewayRole::execute(gateway::AnswerError& e) { m_callers.error(e.request, e.error); }
+void GatewayRole::execute(gateway::AnswerAborted& e) { m_callers.breakOff(e.request, e.error); }
+void GatewayRole::execute(gateway::Finished& e) { m_metrics.record(e.summary); }
+void GatewayRole::execute(LogEvent& e) { m_runtime.log().write(e); }
 
-void GatewayRole::carryOut(gateway::Drained&)
+void GatewayRole::execute(gateway::Drained&)
 {
-    boost::asio::post(m_runtime.io(), [this] { leave(); });
+    boost::asio::post(m_runtime.io(), [this] { shutDown(); });
 }
 
-// --- Operators --------------------------------------------------------------------------------------------------
+// --- Admin pages ------------------------------------------------------------------------------------------------
 
 AdminReply GatewayRole::admin(const AdminRequest& request)
 {
--- a/src/process/GatewayRole.h
+++ b/src/process/GatewayRole.h
@@ -1,5 +1,5 @@
 /** \file
- * The gateway as a process: callers on one side, sidecars and controllers on the other, GatewayLogic between them.
+ * The process role of a gateway: it connects GatewayLogic to the callers and to the sidecars and controllers.
  */
 #pragma once
 
@@ -16,7 +16,8 @@
 public:
     GatewayRole(const Settings&, Runtime&);
 
-    /// Binds everything. \returns the addresses as JSON for the ready line.
+    /// Starts all servers and connects to the controllers. \returns the listening addresses as JSON, for the line that the daemon prints
+    /// when it is ready.
     Result<nlohmann::json> start();
     void drain();
     void reload(const Settings&);
@@ -24,18 +25,18 @@
 private:
     using Driver = LogicDriver<GatewayLogic, gateway::Event, gateway::Effect>;
 
-    void carry(gateway::Effect&);
-    void carryOut(gateway::Send&);
-    void carryOut(gateway::AnswerHead&);
-    void carryOut(gateway::AnswerData&);
-    void carryOut(gateway::AnswerEnd&);
-    void carryOut(gateway::AnswerError&);
-    void carryOut(gateway::AnswerAborted&);
-    void carryOut(gateway::Finished&);
-    void carryOut(gateway::Drained&);
-    void carryOut(LogEvent&);
+    void executeEffect(gateway::Effect&);
+    void execute(gateway::Send&);
+    void execute(gateway::AnswerHead&);
+    void execute(gateway::AnswerData&);
+    void execute(gateway::AnswerEnd&);
+    void execute(gateway::AnswerError&);
+    void execute(gateway::AnswerAborted&);
+    void execute(gateway::Finished&);
+    void execute(gateway::Drained&);
+    void execute(LogEvent&);
     [[nodiscard]] bool isReady() const;
-    void leave();
+    void shutDown();
     AdminReply admin(const AdminRequest&);
     [[nodiscard]] nlohmann::json status() const;
     [[nodiscard]] nlohmann::json upstreams() const;
--- a/src/process/LogicDriver.h
+++ b/src/process/LogicDriver.h
@@ -1,11 +1,12 @@
 /** \file
- * Drives a state machine with real time: one event at a time under its lock, effects carried out in order.
+ * Runs a state machine in real time: processes one event at a time under a lock and executes its effects in order.
  *
- * Lock order of a process: the logic's lock first; under it the effects take, one at a time and never nested, the locks of
- * the caller table, the peer table, the timer and the event log. Carrying effects out only enqueues work on a strand, so
- * the lock is held for microseconds, and two events' effects can't overtake each other on the way to the same connection.
- * One driver stands before another: a gateway's DocumentFollower hands a document on to its ForwardLogic, under its own lock, after
- * decoding it there for milliseconds. Nothing goes the other way, and nobody else waits for that lock but the links' news of documents.
+ * Lock order in a process: the driver's lock first; while it is held, the effects acquire the locks of the caller table, the peer
+ * table, the timer and the event log, one at a time and never nested. Executing an effect only enqueues work on a strand, so the
+ * lock is held for microseconds, and the effects of two events reach a connection in the order of the events.
+ * One driver calls another: a gateway's DocumentFollower decodes a document, which takes milliseconds, and passes it to ForwardLogic,
+ * both under the lock of DocumentFollower's driver. There are no calls in the other direction, and only the peers' messages about documents
+ * wait for that lock.
  */
 #pragma once
 
@@ -18,9 +19,9 @@
 
 namespace wrenhinge {
 
-/// A state machine that takes one event at a time.
+/// A state machine without I/O: `step` processes an event and returns its effects; `nextWake` returns when the next tick is due.
 template <typename Logic, typename Event>
-concept SteppedLogic = requires(Logic logic, const Event& event, Instant now)
+concept StateMachine = requires(Logic logic, const Event& event, Instant now)
 {
     {
         logic.step(event, now).size()
@@ -31,15 +32,15 @@
 };
 
 template <typename Logic, typename Event, typename Effect>
-requires SteppedLogic<Logic, Event>
+requires StateMachine<Logic, Event>
 class LogicDriver {
 public:
-    using Carry = std::function<void(Effect&)>;
+    using EffectHandler = std::function<void(Effect&)>;
 
     template <typename... Args>
-    LogicDriver(TimerService& timers, Carry carry, Event tick, Args&&... args)
+    LogicDriver(TimerService& timers, EffectHandler execute, Event tick, Args&&... args)
         : m_timers(timers)
-        , m_carry(std::move(carry))
+        , m_execute(std::move(execute))
         , m_tick(std::move(tick))
         , m_logic(std::forward<Args>(args)...)
         , m_subscriber(timers.subscribe([this] { post(m_tick); }))
@@ -51,18 +52,18 @@
         std::lock_guard lock(m_mutex);
         auto effects = m_logic.step(event, currentInstant());
         for (auto& effect : effects)
-            m_carry(effect);
+            m_execute(effect);
         m_timers.wakeAt(m_subscriber, m_logic.nextWake());
     }
 
-    /// Reads the logic under its lock.
+    /// Calls `f` with the logic, under the lock.
     template <typename F> auto inspect(F f) const
     {
         std::lock_guard lock(m_mutex);
         return f(m_logic);
     }
 
-    /// Reads the logic by a call that may tidy up its own memory; nothing that it decides may change.
+    /// Like `inspect`, for reads that may discard obsolete state; `f` must not change any decision of the logic.
     template <typename F> auto modify(F f)
     {
         std::lock_guard lock(m_mutex);
@@ -72,7 +73,7 @@
 private:
     mutable std::mutex m_mutex;
     TimerService& m_timers;
-    Carry m_carry;
+    EffectHandler m_execute;
     Event m_tick;
     Logic m_logic;
     TimerService::Subscriber m_subscriber;
--- a/src/process/Main.cpp
+++ b/src/process/Main.cpp
@@ -1,5 +1,5 @@
 /** \file
- * wrenhinged: reads the settings, starts the role that they name, and drains it at SIGTERM.
+ * wrenhinged: reads the settings, starts the role set there, and drains it at SIGTERM.
  */
 #include "process/ControllerRole.h"
 #include "process/Daemon.h"
--- a/src/process/Runtime.cpp
+++ b/src/process/Runtime.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     constexpr int exitForced = 3;
-    constexpr Duration pollEvery = 10ms;
+    constexpr Duration pollInterval = 10ms;
 
 } // namespace
 
@@ -29,7 +29,7 @@
     , m_self(randomIdentity())
     , m_signals(m_io, SIGTERM, SIGINT, SIGHUP)
 {
-    // A caller that closes while we write must not end the process.
+    // A write to a connection that the peer has closed raises SIGPIPE, which would terminate the process.
     std::signal(SIGPIPE, SIG_IGN);
 }
 
@@ -77,13 +77,14 @@
     pollUntil(std::move(f), currentInstant() + limit, std::move(then));
 }
 
-/// Each wait lasts a little longer than asked, so the limit is an instant: counted down by waits it came a second late in eight.
+/// The limit is a point in time and not a number of polls: each wait takes slightly longer than `pollInterval`, and a limit of eight
+/// seconds that was counted in polls expired one second late.
 void Runtime::pollUntil(std::function<bool()> f, Instant end, std::function<void(bool)> then)
 {
     bool reached = f();
     if (reached || currentInstant() >= end)
         return then(reached);
-    auto timer = std::make_shared<boost::asio::steady_timer>(m_io, pollEvery);
+    auto timer = std::make_shared<boost::asio::steady_timer>(m_io, pollInterval);
     timer->async_wait([this, timer, f = std::move(f), end, then = std::move(then)](ErrorCode) { pollUntil(f, end, then); });
 }
 
--- a/src/process/Runtime.h
+++ b/src/process/Runtime.h
@@ -1,5 +1,5 @@
 /** \file
- * What every role of the daemon stands on: the worker pool, the timer, the event log, the admin server, and the signals.
+ * Services that every role of the daemon uses: worker pool, timers, event log, counts of rejected input, and signal handling.
  */
 #pragma once
 
@@ -27,17 +27,18 @@
     IoContext& io() { return m_io; }
     TimerService& timers() { return m_timers; }
     EventLog& log() { return m_log; }
-    /// What came in that can't be used, at any door of this process.
+    /// Counts and logs invalid input from all sources outside this process.
     Refusals& refusals() { return m_refusals; }
-    /// This run of this process.
+    /// Identifies this run of the process; random at each start.
     [[nodiscard]] PeerId self() const { return m_self; }
 
     /// Runs the worker pool until `finish`. `onTerminate` is called at the first SIGTERM or SIGINT, `onReload` at SIGHUP; a
-    /// second SIGTERM ends at once. \returns the exit code.
+    /// second SIGTERM or SIGINT stops the process immediately. \returns the exit code.
     int run(std::uint32_t workers, std::function<void()> onTerminate, std::function<void()> onReload);
-    /// Ends `run` with this exit code.
+    /// Makes `run` return this exit code.
     void finish(int exitCode);
-    /// Calls `f` every few milliseconds until it returns true or `limit` has passed.
+    /// Does not block. Calls `f` now and then every few milliseconds until it returns true or `limit` has passed, and then calls `then`
+    /// with the last result of `f`. If the first call of `f` returns true, `then` is called before this returns.
     void waitUntil(std::function<bool()> f, Duration limit, std::function<void(bool reached)> then);
 
 private:
@@ -54,7 +55,7 @@
     std::atomic<int> m_exitCode = 0;
 };
 
-/// A random 64-bit number that is not zero, from the system.
+/// A random 64-bit number other than zero, from the operating system.
 std::uint64_t randomIdentity();
 
 } // namespace wrenhinge
--- a/src/process/SidecarRole.cpp
+++ b/src/process/SidecarRole.cpp
@@ -10,7 +10,7 @@
 
     constexpr Duration flushLimit = 2s;
 
-    SidecarOptions profileOf(const Settings& settings, PeerId self)
+    SidecarOptions optionsOf(const Settings& settings, PeerId self)
     {
         SidecarOptions options;
         options.self = self;
@@ -39,7 +39,8 @@
               [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
               runtime.refusals().ofLinks() })
     , m_driver(
-          runtime.timers(), [this](sidecar::Effect& effect) { carry(effect); }, sidecar::Tick {}, profileOf(settings, runtime.self()))
+          runtime.timers(), [this](sidecar::Effect& effect) { executeEffect(effect); }, sidecar::Tick {},
+          optionsOf(settings, runtime.self()))
     , m_pages(settings, runtime,
           { [this] { return m_driver.inspect([](const SidecarLogic& logic) { return !logic.isDraining(); }); },
               [this] { return m_hub.peers(); } })
@@ -67,17 +68,17 @@
 
 void SidecarRole::drain() { m_driver.post(sidecar::Drain {}); }
 
-void SidecarRole::carry(sidecar::Effect& effect)
+void SidecarRole::executeEffect(sidecar::Effect& effect)
 {
-    std::visit([this](auto& e) { carryOut(e); }, effect);
+    std::visit([this](auto& e) { execute(e); }, effect);
 }
 
-void SidecarRole::carryOut(sidecar::Drained&)
+void SidecarRole::execute(sidecar::Drained&)
 {
-    boost::asio::post(m_runtime.io(), [this] { leave(); });
+    boost::asio::post(m_runtime.io(), [this] { shutDown(); });
 }
 
-void SidecarRole::leave()
+void SidecarRole::shutDown()
 {
     m_hub.stop();
     m_runtime.waitUntil([this] { return m_hub.peers().empty(); }, flushLimit,
--- a/src/process/SidecarRole.h
+++ b/src/process/SidecarRole.h
@@ -1,5 +1,5 @@
 /** \file
- * The sidecar as a process: its upstream on one side, gateways and controllers on the other, SidecarLogic between them.
+ * The process role of a sidecar: it connects SidecarLogic to its upstream and to the gateways and controllers.
  */
 #pragma once
 
@@ -22,14 +22,14 @@
 private:
     using Driver = LogicDriver<SidecarLogic, sidecar::Event, sidecar::Effect>;
 
-    void carry(sidecar::Effect&);
-    void carryOut(sidecar::Send& e) { m_hub.send(e.to, e.message); }
-    void carryOut(sidecar::StartCall& e) { m_client->start(std::move(e.call)); }
-    void carryOut(sidecar::AbortCall& e) { m_client->abort(e.call); }
-    void carryOut(sidecar::ReleaseResult& e) { m_client->releaseResult(e.kvParams); }
-    void carryOut(sidecar::Drained&);
-    void carryOut(LogEvent& e) { m_runtime.log().write(e); }
-    void leave();
+    void executeEffect(sidecar::Effect&);
+    void execute(sidecar::Send& e) { m_hub.send(e.to, e.message); }
+    void execute(sidecar::StartCall& e) { m_client->start(std::move(e.call)); }
+    void execute(sidecar::AbortCall& e) { m_client->abort(e.call); }
+    void execute(sidecar::ReleaseResult& e) { m_client->releaseResult(e.kvParams); }
+    void execute(sidecar::Drained&);
+    void execute(LogEvent& e) { m_runtime.log().write(e); }
+    void shutDown();
     AdminReply admin(const AdminRequest&);
 
     Settings m_settings;
