--- a/src/process/Daemon.cpp
+++ b/src/process/Daemon.cpp
@@ -11,7 +11,7 @@
     int check = 0;
     int version = 0;
     poptOption table[] = { { "settings", 's', POPT_ARG_STRING, &file, 0, "the settings file (YAML)", "FILE" },
-        { "check", 'c', POPT_ARG_NONE, &check, 0, "check the settings and end", nullptr },
+        { "check", 'c', POPT_ARG_NONE, &check, 0, "check the settings and exit", nullptr },
         { "version", 'V', POPT_ARG_NONE, &version, 0, "print the version", nullptr }, POPT_AUTOHELP POPT_TABLEEND };
     auto context
         = std::unique_ptr<poptContext_s, decltype(&poptFreeContext)>(poptGetContext("wrenhinged", argc, argv, table, 0), &poptFreeContext);
@@ -25,7 +25,7 @@
         return daemon_exit::ok;
     }
     if (!file || poptPeekArg(context.get())) {
-        std::cerr << "wrenhinged: give exactly --settings FILE; see wrenhinged --help\n";
+        std::cerr << "wrenhinged: expected --settings FILE and no other arguments; see wrenhinged --help\n";
         return daemon_exit::usage;
     }
     options.settingsFile = file;
--- a/src/process/Daemon.h
+++ b/src/process/Daemon.h
@@ -42,7 +42,7 @@
 {
     auto settings = readSettings(file);
     if (!settings) {
-        runtime.log().write({ EventCode::SettingsReloaded, {}, "kept as they were: " + settings.error().message });
+        runtime.log().write({ EventCode::SettingsReloaded, {}, "settings unchanged: " + settings.error().message });
         return;
     }
     runtime.log().setLevel(settings.value().log.level);
--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -145,8 +145,8 @@
                     boost::asio::post(m_strand, [this] { m_callers.closeIdle(); });
                     m_runtime.waitUntil([this] { return !m_callers.connections(); }, m_settings.drainLimit - drainAcceptPeriod,
                         [this](bool isDrained) {
-                            m_runtime.log().write(
-                                { EventCode::ProcessStopped, {}, isDrained ? "all answered" : "with requests unanswered" });
+                            m_runtime.log().write({ EventCode::ProcessStopped, {},
+                                isDrained ? "all requests answered" : "drain limit reached with requests unanswered" });
                             m_runtime.finish(0);
                         });
                 });
@@ -308,7 +308,7 @@
             auto result = readControlCallResult(answer, caller);
             auto handle = result.isSuccess ? Dialect::readPrefill(answer.body) : std::nullopt;
             if (result.isSuccess && !handle)
-                m_runtime.refusals().note(Door::Report, replica.id, "its answer to a prompt names no usable handle");
+                m_runtime.refusals().note(Door::Report, replica.id, "the answer to a prefill contains no valid KV cache handle");
             if (handle)
                 post(forward::PrefillFinished { id, attempt, std::move(*handle) });
             else
@@ -328,7 +328,7 @@
             bool isGranted = readControlCallResult(answer, caller).isSuccess;
             auto reservation = isGranted ? Dialect::readPlace(answer.body) : std::nullopt;
             if (isGranted && !reservation)
-                m_runtime.refusals().note(Door::Report, replica.id, "its answer names no usable place");
+                m_runtime.refusals().note(Door::Report, replica.id, "the answer to a reservation request contains no valid reservation id");
             if (reservation)
                 post(forward::ReservationGranted { id, attempt, std::move(*reservation) });
             else
--- a/src/process/GatewayRole.cpp
+++ b/src/process/GatewayRole.cpp
@@ -88,7 +88,7 @@
 void GatewayRole::reload(const Settings&)
 {
     if (auto loaded = m_callers.reloadAccounts(); !loaded)
-        m_runtime.log().write({ EventCode::SettingsReloaded, {}, "accounts kept as they were: " + loaded.error().message });
+        m_runtime.log().write({ EventCode::SettingsReloaded, {}, "accounts unchanged: " + loaded.error().message });
 }
 
 void GatewayRole::shutDown()
--- a/src/process/Main.cpp
+++ b/src/process/Main.cpp
@@ -20,7 +20,7 @@
     case Role::Controller:
         return runRole<ControllerRole>(settings, file);
     }
-    internalError("a role that no class serves");
+    internalError("no class implements the configured role");
 }
 
 } // namespace
