--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -102,7 +102,7 @@
                   },
                   [this](PeerId peer, Message&& message) { onMessage(peer, std::move(message)); },
                   [this] { return m_runtime.log().stampSend(); }, [this](HybridTime stamp) { m_runtime.log().stampReceive(stamp); },
-                  runtime.refusals().ofLinks() })
+                  runtime.refusals().linkHandler() })
         , m_callers(m_strand,
               [this](HttpRequest&& request, std::shared_ptr<HttpAnswer> answer) { onRequest(std::move(request), std::move(answer)); })
         , m_ready(m_strand, [this](HttpRequest&&, const std::shared_ptr<HttpAnswer>& answer) { onReadyCheck(*answer); })
@@ -139,11 +139,11 @@
         boost::asio::post(m_strand, [this] {
             m_isDraining = true;
             m_callers.announceClose();
-            post(forward::Stop { currentInstant() + m_settings.drainLimit });
+            post(forward::Stop { currentInstant() + m_settings.drainTimeout });
             m_runtime.waitUntil([] { return false; }, drainAcceptPeriod,
                 [this](bool) {
                     boost::asio::post(m_strand, [this] { m_callers.closeIdle(); });
-                    m_runtime.waitUntil([this] { return !m_callers.connections(); }, m_settings.drainLimit - drainAcceptPeriod,
+                    m_runtime.waitUntil([this] { return !m_callers.connections(); }, m_settings.drainTimeout - drainAcceptPeriod,
                         [this](bool isDrained) {
                             m_runtime.log().write({ EventCode::ProcessStopped, {},
                                 isDrained ? "all requests answered" : "drain limit reached with requests unanswered" });
@@ -204,7 +204,7 @@
         } else if (const auto* withdrawn = std::get_if<ReplicaWithdrawn>(&message)) {
             post(*withdrawn);
         } else if (const auto* headroom = std::get_if<EngineHeadroom>(&message)) {
-            post(forward::EngineCapacityReported { headroom->address, { peer, headroom->tokens, headroom->prefillBacklog } });
+            post(forward::EngineHeadroomReported { headroom->address, { peer, headroom->tokens, headroom->prefillBacklog } });
         } else if (const auto* reply = std::get_if<ReservationReply>(&message)) {
             post(forward::SidecarReservationReply { reply->request, reply->attempt, reply->isGranted, reply->headroom });
         } else if (auto* heartbeat = std::get_if<RegistryHeartbeat>(&message)) {
@@ -308,7 +308,7 @@
             auto result = readControlCallResult(answer, caller);
             auto handle = result.isSuccess ? Dialect::readPrefill(answer.body) : std::nullopt;
             if (result.isSuccess && !handle)
-                m_runtime.refusals().note(Door::Report, replica.id, "the answer to a prefill contains no valid KV cache handle");
+                m_runtime.refusals().note(InputSource::Report, replica.id, "the answer to a prefill contains no valid KV cache handle");
             if (handle)
                 post(forward::PrefillFinished { id, attempt, std::move(*handle) });
             else
@@ -328,7 +328,8 @@
             bool isGranted = readControlCallResult(answer, caller).isSuccess;
             auto reservation = isGranted ? Dialect::readPlace(answer.body) : std::nullopt;
             if (isGranted && !reservation)
-                m_runtime.refusals().note(Door::Report, replica.id, "the answer to a reservation request contains no valid reservation id");
+                m_runtime.refusals().note(
+                    InputSource::Report, replica.id, "the answer to a reservation request contains no valid reservation id");
             if (reservation)
                 post(forward::ReservationGranted { id, attempt, std::move(*reservation) });
             else
@@ -449,7 +450,7 @@
     {
         const auto& report = usage.report;
         sendToControllers([&report](PeerId to) {
-            return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.told };
+            return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.knownGateways };
         });
     }
 
@@ -501,7 +502,7 @@
             return AdminPages::notFound(request.path);
         m_driver.inspect([this](const ForwardLogic& logic) {
             m_metrics.setGauge("wrenhinge_in_progress", static_cast<double>(logic.requests()));
-            m_metrics.setGauge("wrenhinge_log_lines_left_out", static_cast<double>(m_runtime.log().linesLeftOut()));
+            m_metrics.setGauge("wrenhinge_log_lines_left_out", static_cast<double>(m_runtime.log().droppedLines()));
             m_metrics.setGauge("wrenhinge_engines_used", static_cast<double>(logic.replicas().subset().ids().size()));
             m_metrics.setGauge("wrenhinge_document_version", static_cast<double>(logic.documentVersion()));
             m_metrics.setGauge("wrenhinge_keys_refused_total", static_cast<double>(logic.refusedKeys()));
--- a/src/process/LogicDriver.h
+++ b/src/process/LogicDriver.h
@@ -76,7 +76,7 @@
     EffectHandler m_execute;
     Event m_tick;
     Logic m_logic;
-    TimerService::Subscriber m_subscriber;
+    TimerService::SubscriberId m_subscriber;
 };
 
 } // namespace wrenhinge
