--- a/src/process/Main.cpp
+++ b/src/process/Main.cpp
@@ -1,5 +1,5 @@
 /** \file
- * wrenhinged: reads the settings, starts the role that they name, and drains it at SIGTERM.
+ * wrenhinged: reads the settings, starts the role set there, and drains it at SIGTERM.
  */
 #include "process/ControllerRole.h"
 #include "process/Daemon.h"
@@ -20,7 +20,7 @@
     case Role::Controller:
         return runRole<ControllerRole>(settings, file);
     }
-    internalError("a role that no class serves");
+    internalError("no class implements the configured role");
 }
 
 } // namespace
