--- a/src/process/AccountPages.cpp
+++ b/src/process/AccountPages.cpp
@@ -21,11 +21,11 @@
 
 std::string accountMetrics(AccountQuotas& quotas)
 {
-    constexpr std::size_t mostAccounts = 50;
+    constexpr std::size_t maxAccounts = 50;
     std::vector<std::tuple<std::uint64_t, std::uint64_t, std::string>> busiest;
     for (const auto& [name, quota] : quotas.accounts())
         busiest.emplace_back(quota.refused(), quota.admitted(), name);
-    auto shown = std::min(mostAccounts, busiest.size());
+    auto shown = std::min(maxAccounts, busiest.size());
     std::partial_sort(busiest.begin(), busiest.begin() + static_cast<std::ptrdiff_t>(shown), busiest.end(), std::greater<>());
     std::string out;
     for (std::size_t i = 0; i < shown; ++i) {
--- a/src/process/AdminServer.cpp
+++ b/src/process/AdminServer.cpp
@@ -16,8 +16,8 @@
 namespace {
 
     constexpr unsigned adminThreads = 2;
-    constexpr unsigned mostAdminThreads = 4;
-    constexpr int bindTries = 10;
+    constexpr unsigned maxAdminThreads = 4;
+    constexpr int maxBindAttempts = 10;
 
     class AdminResponder : public cxxtools::http::Responder {
     public:
@@ -64,13 +64,13 @@
 
 } // namespace
 
-struct AdminServer::Machinery {
-    explicit Machinery(Handler handler)
+struct AdminServer::Impl {
+    explicit Impl(Handler handler)
         : server(loop)
         , service(std::move(handler))
     {
         server.minThreads(adminThreads);
-        server.maxThreads(mostAdminThreads);
+        server.maxThreads(maxAdminThreads);
         server.addService(cxxtools::Regex(".*"), service);
     }
     cxxtools::EventLoop loop;
@@ -89,13 +89,13 @@
     if (!endpoint)
         return endpoint.error();
     auto ip = endpoint.value().address().to_string();
-    m_machinery = std::make_unique<Machinery>(std::move(handler));
+    m_impl = std::make_unique<Impl>(std::move(handler));
     std::string why;
-    for (int i = 0; i < bindTries; ++i) {
+    for (int i = 0; i < maxBindAttempts; ++i) {
         try {
             auto port = endpoint.value().port() ? endpoint.value().port() : freePort(endpoint.value());
-            m_machinery->server.listen(ip, port);
-            m_machinery->thread = std::thread([machinery = m_machinery.get()] { machinery->loop.run(); });
+            m_impl->server.listen(ip, port);
+            m_impl->thread = std::thread([impl = m_impl.get()] { impl->loop.run(); });
             return ip + ":" + std::to_string(port);
         } catch (const std::exception& e) {
             why = e.what();
@@ -108,12 +108,12 @@
 
 void AdminServer::stop()
 {
-    if (!m_machinery)
+    if (!m_impl)
         return;
-    m_machinery->loop.exit();
-    if (m_machinery->thread.joinable())
-        m_machinery->thread.join();
-    m_machinery.reset();
+    m_impl->loop.exit();
+    if (m_impl->thread.joinable())
+        m_impl->thread.join();
+    m_impl.reset();
 }
 
 std::string queryValue(const std::string& query, const std::string& name)
--- a/src/process/AdminServer.h
+++ b/src/process/AdminServer.h
@@ -39,8 +39,8 @@
     void stop();
 
 private:
-    struct Machinery;
-    std::unique_ptr<Machinery> m_machinery;
+    struct Impl;
+    std::unique_ptr<Impl> m_impl;
 };
 
 /// The value of a parameter in a query, or empty.
--- a/src/process/EventLog.cpp
+++ b/src/process/EventLog.cpp
@@ -49,9 +49,9 @@
     /// Gives formatted lines to a LineWriter and counts what that has no room for.
     class QueueAppender : public log4cplus::Appender {
     public:
-        QueueAppender(LineWriter& writer, std::atomic<std::uint64_t>& leftOut)
+        QueueAppender(LineWriter& writer, std::atomic<std::uint64_t>& droppedLines)
             : m_writer(writer)
-            , m_leftOut(leftOut)
+            , m_droppedLines(droppedLines)
         {
         }
         ~QueueAppender() override { destructorImpl(); }
@@ -63,12 +63,12 @@
             log4cplus::tostringstream line;
             layout->formatAndAppend(line, event);
             if (!m_writer.write(line.str()))
-                ++m_leftOut;
+                ++m_droppedLines;
         }
 
     private:
         LineWriter& m_writer;
-        std::atomic<std::uint64_t>& m_leftOut;
+        std::atomic<std::uint64_t>& m_droppedLines;
     };
 
     /// A text as a quoted value: what would end the quotes or the line is escaped.
@@ -95,7 +95,7 @@
         fd = m_file >= 0 ? m_file : STDERR_FILENO;
     }
     m_writer = std::make_unique<LineWriter>(fd);
-    log4cplus::SharedAppenderPtr appender(new QueueAppender(*m_writer, m_leftOut));
+    log4cplus::SharedAppenderPtr appender(new QueueAppender(*m_writer, m_droppedLines));
     appender->setLayout(std::make_unique<log4cplus::PatternLayout>(lineLayout));
     logger().removeAllAppenders();
     logger().addAppender(appender);
@@ -107,7 +107,7 @@
 
 EventLog::~EventLog()
 {
-    tellLeftOut();
+    reportDroppedLines();
     logger().removeAllAppenders();
     m_writer.reset();
     if (m_file >= 0)
@@ -122,34 +122,34 @@
     logger().setLogLevel(log4cplus::getLogLevelManager().fromString(upper));
 }
 
-void EventLog::write(const LogEvent& note)
+void EventLog::write(const LogEvent& event)
 {
-    auto request = note.request.sequence ? toString(note.request) : std::string();
+    auto request = event.request.sequence ? toString(event.request) : std::string();
     {
         std::lock_guard lock(m_mutex);
-        m_events.push_back({ m_clock.tick(currentWallMicros()), note.code, request, note.text });
-        if (m_events.size() > eventsKept)
+        m_events.push_back({ m_clock.tick(currentWallMicros()), event.code, request, event.text });
+        if (m_events.size() > maxEvents)
             m_events.pop_front();
     }
-    auto level = levelOf(note.code);
+    auto level = levelOf(event.code);
     if (!logger().isEnabledFor(level))
         return;
-    if (!isWithinRate(note.code)) {
-        ++m_leftOut;
+    if (!isWithinRate(event.code)) {
+        ++m_droppedLines;
         return;
     }
-    tellLeftOut();
-    writeLine(level, note);
+    reportDroppedLines();
+    writeLine(level, event);
 }
 
-void EventLog::writeLine(int level, const LogEvent& note)
+void EventLog::writeLine(int level, const LogEvent& event)
 {
     auto line
-        = "event=" + std::to_string(static_cast<int>(note.code)) + " name=" + std::string(nameOf(note.code)) + " process=" + m_process;
-    if (note.request.sequence)
-        line += " request=" + toString(note.request);
-    if (!note.text.empty())
-        line += " text=" + quoted(note.text);
+        = "event=" + std::to_string(static_cast<int>(event.code)) + " name=" + std::string(nameOf(event.code)) + " process=" + m_process;
+    if (event.request.sequence)
+        line += " request=" + toString(event.request);
+    if (!event.text.empty())
+        line += " text=" + quoted(event.text);
     logger().forcedLog(level, line);
 }
 
@@ -157,25 +157,25 @@
 {
     std::lock_guard lock(m_mutex);
     auto now = currentInstant();
-    auto& budget = m_budgets[code];
-    budget.lines = std::min(linesAtOnce, budget.lines + toSeconds(now - std::exchange(budget.at, now)) * linesPerSecond);
-    if (budget.lines < 1)
+    auto& bucket = m_buckets[code];
+    bucket.tokens = std::min(burstLines, bucket.tokens + toSeconds(now - std::exchange(bucket.refilledAt, now)) * linesPerSecond);
+    if (bucket.tokens < 1)
         return false;
-    --budget.lines;
+    --bucket.tokens;
     return true;
 }
 
 /// A gap in the log is told as soon as there is room for a line.
-void EventLog::tellLeftOut()
+void EventLog::reportDroppedLines()
 {
-    auto all = m_leftOut.load();
-    auto told = m_leftOutTold.load();
-    if (all == told || !m_leftOutTold.compare_exchange_strong(told, all))
+    auto all = m_droppedLines.load();
+    auto reported = m_reportedDroppedLines.load();
+    if (all == reported || !m_reportedDroppedLines.compare_exchange_strong(reported, all))
         return;
-    writeLine(log4cplus::WARN_LOG_LEVEL, { EventCode::LinesLeftOut, {}, std::to_string(all - told) + " lines" });
+    writeLine(log4cplus::WARN_LOG_LEVEL, { EventCode::LinesLeftOut, {}, std::to_string(all - reported) + " lines" });
     // No room for this line either: the next one tells.
-    if (m_leftOut != all)
-        m_leftOutTold = told;
+    if (m_droppedLines != all)
+        m_reportedDroppedLines = reported;
 }
 
 std::vector<TimelineEvent> EventLog::events(const std::string& request) const
--- a/src/process/EventLog.h
+++ b/src/process/EventLog.h
@@ -33,9 +33,9 @@
 
 class EventLog {
 public:
-    static constexpr std::size_t eventsKept = 50000;
+    static constexpr std::size_t maxEvents = 50000;
     /// Lines of one event: this many at once, then this many a second. The heaviest gateway seen writes 60 a second of one event.
-    static constexpr double linesAtOnce = 1000;
+    static constexpr double burstLines = 1000;
     static constexpr double linesPerSecond = 200;
 
     /// Starts log4cplus as the settings say. `process` names this process in each line.
@@ -47,7 +47,7 @@
     void write(const LogEvent&);
     void setLevel(const std::string& level);
     /// Lines that were left out since the start, for want of room or beyond the rate of their event.
-    [[nodiscard]] std::uint64_t linesLeftOut() const { return m_leftOut; }
+    [[nodiscard]] std::uint64_t droppedLines() const { return m_droppedLines; }
     /// The kept events, of one request if `request` is given.
     [[nodiscard]] std::vector<TimelineEvent> events(const std::string& request) const;
 
@@ -55,24 +55,24 @@
     void stampReceive(HybridTime);
 
 private:
-    struct Budget {
-        double lines = linesAtOnce;
-        Instant at;
+    struct TokenBucket {
+        double tokens = burstLines;
+        Instant refilledAt;
     };
 
     bool isWithinRate(EventCode);
-    void tellLeftOut();
+    void reportDroppedLines();
     void writeLine(int level, const LogEvent&);
 
     std::string m_process;
     int m_file = -1; ///< Open while the log goes to a file.
-    std::atomic<std::uint64_t> m_leftOut = 0;
-    std::atomic<std::uint64_t> m_leftOutTold = 0; ///< The part of them that a line in the log has told of.
+    std::atomic<std::uint64_t> m_droppedLines = 0;
+    std::atomic<std::uint64_t> m_reportedDroppedLines = 0; ///< The part of them that a line in the log has told of.
     std::unique_ptr<LineWriter> m_writer;
     mutable std::mutex m_mutex; ///< Guards what follows; nothing else is locked under it.
     HybridClock m_clock;
     std::deque<TimelineEvent> m_events;
-    std::map<EventCode, Budget> m_budgets;
+    std::map<EventCode, TokenBucket> m_buckets;
 };
 
 } // namespace wrenhinge
--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -138,11 +138,11 @@
         boost::asio::post(m_strand, [this] {
             m_isDraining = true;
             m_callers.announceClose();
-            post(forward::Stop { currentInstant() + m_settings.drainLimit });
+            post(forward::Stop { currentInstant() + m_settings.drainTimeout });
             m_runtime.waitUntil([] { return false; }, acceptWhileDraining,
                 [this](bool) {
                     boost::asio::post(m_strand, [this] { m_callers.closeIdle(); });
-                    m_runtime.waitUntil([this] { return !m_callers.connections(); }, m_settings.drainLimit - acceptWhileDraining,
+                    m_runtime.waitUntil([this] { return !m_callers.connections(); }, m_settings.drainTimeout - acceptWhileDraining,
                         [this](bool isDone) {
                             m_runtime.log().write({ EventCode::ProcessStopped, {}, isDone ? "all answered" : "with requests unanswered" });
                             m_runtime.finish(0);
@@ -493,7 +493,7 @@
             return AdminPages::notFound(request.path);
         m_driver.inspect([this](const ForwardLogic& logic) {
             m_metrics.setGauge("wrenhinge_in_progress", static_cast<double>(logic.requests()));
-            m_metrics.setGauge("wrenhinge_log_lines_left_out", static_cast<double>(m_runtime.log().linesLeftOut()));
+            m_metrics.setGauge("wrenhinge_log_lines_left_out", static_cast<double>(m_runtime.log().droppedLines()));
             m_metrics.setGauge("wrenhinge_engines_used", static_cast<double>(logic.replicas().subset().ids().size()));
             m_metrics.setGauge("wrenhinge_document_version", static_cast<double>(logic.documentVersion()));
             m_metrics.setGauge("wrenhinge_keys_refused_total", static_cast<double>(logic.refusedKeys()));
--- a/src/process/GatewayRole.cpp
+++ b/src/process/GatewayRole.cpp
@@ -94,7 +94,7 @@
 {
     m_callers.stopAccepting();
     auto isFlushed = [this] { return !m_callers.unfinished(); };
-    m_runtime.waitUntil(isFlushed, m_settings.drainLimit, [this](bool reached) {
+    m_runtime.waitUntil(isFlushed, m_settings.drainTimeout, [this](bool reached) {
         m_hub.stop();
         m_runtime.log().write({ EventCode::ProcessStopped, {}, reached ? "drained" : "drain limit reached" });
         m_runtime.finish(reached ? 0 : exitUnfinished);
--- a/src/process/LineWriter.cpp
+++ b/src/process/LineWriter.cpp
@@ -36,10 +36,10 @@
 bool LineWriter::write(const std::string& line)
 {
     std::lock_guard lock(m_mutex);
-    if (m_waiting.size() + m_writing + line.size() > bytesKept)
+    if (m_queue.size() + m_bytesBeingWritten + line.size() > maxQueuedBytes)
         return false;
-    bool isFirst = m_waiting.empty();
-    m_waiting += line;
+    bool isFirst = m_queue.empty();
+    m_queue += line;
     if (isFirst)
         m_changed.notify_one();
     return true;
@@ -51,22 +51,22 @@
         std::string bytes;
         {
             std::unique_lock lock(m_mutex);
-            m_changed.wait(lock, [this] { return m_isStopping || !m_waiting.empty(); });
-            m_changed.wait_for(lock, gatherFor, [this] { return m_isStopping.load(); });
-            bytes = std::exchange(m_waiting, {});
-            m_writing = bytes.size();
+            m_changed.wait(lock, [this] { return m_isStopping || !m_queue.empty(); });
+            m_changed.wait_for(lock, batchInterval, [this] { return m_isStopping.load(); });
+            bytes = std::exchange(m_queue, {});
+            m_bytesBeingWritten = bytes.size();
             if (bytes.empty())
                 return;
         }
-        auto stopsAt = Instant::max();
+        auto deadline = Instant::max();
         while (!bytes.empty()) {
-            if (m_isStopping && stopsAt == Instant::max())
-                stopsAt = currentInstant() + endWithin;
-            if (currentInstant() >= stopsAt || !writeSome(bytes))
+            if (m_isStopping && deadline == Instant::max())
+                deadline = currentInstant() + shutdownTimeout;
+            if (currentInstant() >= deadline || !writeSome(bytes))
                 return;
         }
         std::lock_guard lock(m_mutex);
-        m_writing = 0;
+        m_bytesBeingWritten = 0;
     }
 }
 
--- a/src/process/LineWriter.h
+++ b/src/process/LineWriter.h
@@ -20,11 +20,11 @@
 class LineWriter {
 public:
     /// What waits at most: some 1,500 lines, several seconds of a gateway at the heaviest load seen (300 lines a second).
-    static constexpr std::size_t bytesKept = 256 * 1024;
+    static constexpr std::size_t maxQueuedBytes = 256 * 1024;
     /// Lines gather for this long, so that a busy second costs twenty writes and not three hundred.
-    static constexpr Duration gatherFor = 50ms;
+    static constexpr Duration batchInterval = 50ms;
     /// At the end what waits is written for this long; a reader that has stalled does not keep the process.
-    static constexpr Duration endWithin = 300ms;
+    static constexpr Duration shutdownTimeout = 300ms;
 
     /// \param fd where to write; it stays the caller's.
     explicit LineWriter(int fd);
@@ -42,8 +42,8 @@
     int m_fd;
     std::mutex m_mutex; ///< Guards what follows; nothing is locked under it.
     std::condition_variable m_changed;
-    std::string m_waiting;
-    std::size_t m_writing = 0; ///< Bytes that the thread has taken and not written.
+    std::string m_queue;
+    std::size_t m_bytesBeingWritten = 0; ///< Bytes that the thread has taken and not written.
     std::atomic<bool> m_isStopping = false;
     std::thread m_thread; ///< Last: it uses everything above.
 };
--- a/src/process/Metrics.cpp
+++ b/src/process/Metrics.cpp
@@ -15,7 +15,7 @@
     service.prefillTokens += summary.prefillTokens;
     service.wastedPrefillTokens += summary.wastedPrefillTokens;
     service.retries += summary.retries;
-    ++service.endings[summary.code];
+    ++service.requestsByResult[summary.code];
     if (summary.tokens)
         m_firstToken.add(summary.firstToken);
     if (summary.tokens > 1)
@@ -40,20 +40,20 @@
     std::lock_guard lock(m_mutex);
     std::string out;
     printCounter(out, "wrenhinge_goodput_total", "Requests answered within both latency targets.",
-        [](const ByService& s) { return s.withinTargets; });
+        [](const ServiceCounters& s) { return s.withinTargets; });
     printCounter(out, "wrenhinge_urgent_goodput_total", "Urgent requests answered within both latency targets.",
-        [](const ByService& s) { return s.urgentWithinTargets; });
+        [](const ServiceCounters& s) { return s.urgentWithinTargets; });
     printCounter(out, "wrenhinge_wasted_prefill_tokens_total", "Prompt tokens computed whose result never became a token.",
-        [](const ByService& s) { return s.wastedPrefillTokens; });
+        [](const ServiceCounters& s) { return s.wastedPrefillTokens; });
     printCounter(out, "wrenhinge_prefill_tokens_total", "Prompt tokens that prefill engines were asked to compute.",
-        [](const ByService& s) { return s.prefillTokens; });
-    printCounter(out, "wrenhinge_answered_total", "Requests answered whole.", [](const ByService& s) { return s.answered; });
-    printCounter(
-        out, "wrenhinge_urgent_answered_total", "Urgent requests answered whole.", [](const ByService& s) { return s.urgentAnswered; });
-    printCounter(out, "wrenhinge_retries_total", "Attempts after the first.", [](const ByService& s) { return s.retries; });
+        [](const ServiceCounters& s) { return s.prefillTokens; });
+    printCounter(out, "wrenhinge_answered_total", "Requests answered whole.", [](const ServiceCounters& s) { return s.answered; });
+    printCounter(out, "wrenhinge_urgent_answered_total", "Urgent requests answered whole.",
+        [](const ServiceCounters& s) { return s.urgentAnswered; });
+    printCounter(out, "wrenhinge_retries_total", "Attempts after the first.", [](const ServiceCounters& s) { return s.retries; });
     out += "# HELP wrenhinge_requests_total Requests by how they ended.\n# TYPE wrenhinge_requests_total counter\n";
     for (const auto& [service, counts] : m_services) {
-        for (const auto& [code, n] : counts.endings)
+        for (const auto& [code, n] : counts.requestsByResult)
             out += "wrenhinge_requests_total{service=\"" + service + "\",code=\"" + std::string(nameOf(code)) + "\"} " + std::to_string(n)
                 + "\n";
     }
--- a/src/process/Metrics.h
+++ b/src/process/Metrics.h
@@ -23,7 +23,7 @@
     [[nodiscard]] std::string text() const;
 
 private:
-    struct ByService {
+    struct ServiceCounters {
         std::uint64_t answered = 0;
         std::uint64_t withinTargets = 0;
         std::uint64_t urgentAnswered = 0;
@@ -31,12 +31,12 @@
         std::uint64_t prefillTokens = 0;
         std::uint64_t wastedPrefillTokens = 0;
         std::uint64_t retries = 0;
-        std::map<ResultCode, std::uint64_t> endings;
+        std::map<ResultCode, std::uint64_t> requestsByResult;
     };
     template <typename F> void printCounter(std::string& out, const std::string& name, const std::string& help, F value) const;
 
     mutable std::mutex m_mutex;
-    std::map<std::string, ByService> m_services;
+    std::map<std::string, ServiceCounters> m_services;
     TimeHistogram m_firstToken { 1e-3, 60 };
     TimeHistogram m_tokenInterval { 1e-4, 1 };
     std::map<std::string, double> m_gauges;
--- a/src/process/Settings.cpp
+++ b/src/process/Settings.cpp
@@ -12,22 +12,22 @@
 
 namespace {
 
-    Error bad(std::string message) { return { ResultCode::BadSettings, std::move(message) }; }
+    Error settingsError(std::string message) { return { ResultCode::BadSettings, std::move(message) }; }
 
     Result<std::string> parseText(const std::string& text)
     {
         if (text.empty())
-            return bad("is empty; write a value");
+            return settingsError("is empty; write a value");
         return text;
     }
 
     /// A name that can stand in paths of the configuration and in logs.
     Result<std::string> parseName(const std::string& text)
     {
-        bool fits = !text.empty() && text.size() <= 64
+        bool isValid = !text.empty() && text.size() <= 64
             && std::all_of(text.begin(), text.end(), [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_' || c == '.'; });
-        if (!fits)
-            return bad("'" + text + "' is no name: use up to 64 letters, digits, '-', '_' and '.'");
+        if (!isValid)
+            return settingsError("'" + text + "' is no name: use up to 64 letters, digits, '-', '_' and '.'");
         return text;
     }
 
@@ -45,7 +45,7 @@
         for (std::string part; std::getline(parts, part, '.'); ++dots)
             isIp = isIp && isDigits(part) && part.size() <= 3 && std::stoi(part) <= 255;
         if (!isIp || dots != 4 || !isDigits(port) || port.size() > 5 || std::stoul(port) > 65535)
-            return bad("'" + text + "' is no address: write IP:PORT, such as 127.0.0.1:8080");
+            return settingsError("'" + text + "' is no address: write IP:PORT, such as 127.0.0.1:8080");
         return text;
     }
 
@@ -55,7 +55,7 @@
             if (text == nameOf(role))
                 return role;
         }
-        return bad("'" + text + "' is no role: write gateway, sidecar or controller");
+        return settingsError("'" + text + "' is no role: write gateway, sidecar or controller");
     }
 
     Result<UpstreamKind> parseKind(const std::string& text)
@@ -64,7 +64,7 @@
             if (text == nameOf(kind))
                 return kind;
         }
-        return bad("'" + text + "' is no kind: write prefill, decode or plain");
+        return settingsError("'" + text + "' is no kind: write prefill, decode or plain");
     }
 
     Result<std::string> parseLevel(const std::string& text)
@@ -73,34 +73,34 @@
             if (text == level)
                 return text;
         }
-        return bad("'" + text + "' is no level: write trace, debug, info, warn or error");
+        return settingsError("'" + text + "' is no level: write trace, debug, info, warn or error");
     }
 
     Result<std::uint64_t> parsePositive(const std::string& text)
     {
         auto value = parseCount(text);
         if (value && (!value.value() || value.value() > 100000))
-            return bad("'" + text + "' is out of range: write a whole number from 1 to 100000");
+            return settingsError("'" + text + "' is out of range: write a whole number from 1 to 100000");
         return value;
     }
 
     /// Each loss costs two more voters, and every change waits for a majority of them.
-    constexpr std::uint64_t mostLossesToBear = 10;
-    Result<std::uint64_t> parseLosses(const std::string& text)
+    constexpr std::uint64_t maxToleratedFailures = 10;
+    Result<std::uint64_t> parseToleratedFailures(const std::string& text)
     {
         auto value = parseCount(text);
-        if (value && value.value() > mostLossesToBear)
-            return bad("'" + text + "' is out of range: write a whole number from 0 to " + std::to_string(mostLossesToBear));
+        if (value && value.value() > maxToleratedFailures)
+            return settingsError("'" + text + "' is out of range: write a whole number from 0 to " + std::to_string(maxToleratedFailures));
         return value;
     }
 
-    Result<std::string> parseAnything(const std::string& text) { return text; }
+    Result<std::string> parseAnyText(const std::string& text) { return text; }
 
     Result<Duration> parsePositiveDuration(const std::string& text)
     {
         auto value = parseDuration(text);
         if (value && value.value() <= Duration::zero())
-            return bad("'" + text + "' is too short: write a duration above zero");
+            return settingsError("'" + text + "' is too short: write a duration above zero");
         return value;
     }
 
@@ -109,7 +109,7 @@
         char* end = nullptr;
         double value = std::strtod(text.c_str(), &end);
         if (text.empty() || *end || !(value >= 0) || value > 1e6)
-            return bad("'" + text + "' is no quantity: write a number from 0 on, such as 0.2");
+            return settingsError("'" + text + "' is no quantity: write a number from 0 on, such as 0.2");
         return value;
     }
 
@@ -159,7 +159,7 @@
 
     void readController(SettingsNode node, const std::string& self, ControllerSettings& controller)
     {
-        node.optional("data", controller.data, parseAnything);
+        node.optional("data", controller.data, parseAnyText);
         node.optional("new-cluster", controller.isNewCluster, parseYesNo);
         node.maps("members", [&controller](SettingsNode& one) {
             MemberSettings member;
@@ -168,8 +168,8 @@
             controller.members.push_back(member);
         });
         node.list("seeds", controller.seeds, parseAddress);
-        node.optional("losses-to-bear", controller.toleratedFailures, parseLosses);
-        node.optional("door", controller.door, parseAddress);
+        node.optional("losses-to-bear", controller.toleratedFailures, parseToleratedFailures);
+        node.optional("door", controller.apiAddress, parseAddress);
         node.optional("election-timeout", controller.electionTimeout, parsePositiveDuration);
         node.optional("heartbeat", controller.heartbeat, parsePositiveDuration);
         node.optional("order-lease", controller.orderLease, parsePositiveDuration);
@@ -214,7 +214,7 @@
         root.required("zone", settings.zone, parseName);
         root.required("admin", settings.admin, parseAddress);
         root.optional("workers", settings.workers, parsePositive);
-        root.optional("drain-limit", settings.drainLimit, parsePositiveDuration);
+        root.optional("drain-limit", settings.drainTimeout, parsePositiveDuration);
         readLog(root.child("log"), settings.log);
         if (settings.role != Role::Controller)
             root.list("controllers", settings.controllers, parseAddress);
@@ -278,7 +278,7 @@
 {
     std::ifstream in(file);
     if (!in)
-        return bad(file + ": can't be read; check the path and its permissions");
+        return settingsError(file + ": can't be read; check the path and its permissions");
     std::ostringstream text;
     text << in.rdbuf();
     return parseSettings(text.str(), file);
@@ -286,23 +286,23 @@
 
 Result<Settings> parseSettings(const std::string& text, const std::string& file)
 {
-    SettingsErrors mistakes { file, {} };
+    SettingsErrors errors { file, {} };
     Settings settings;
     try {
         auto node = YAML::Load(text);
         if (!node.IsMap())
-            return bad(file + ":1: the file holds no settings; write `role: …` and the rest as a map");
-        SettingsNode root(node, "", mistakes);
+            return settingsError(file + ":1: the file holds no settings; write `role: …` and the rest as a map");
+        SettingsNode root(node, "", errors);
         readAll(root, settings);
     } catch (const YAML::Exception& e) {
-        return bad(file + ":" + std::to_string(e.mark.line + 1) + ": not YAML: " + e.msg);
+        return settingsError(file + ":" + std::to_string(e.mark.line + 1) + ": not YAML: " + e.msg);
     }
-    if (mistakes.lines.empty())
+    if (errors.lines.empty())
         return settings;
     std::string message;
-    for (const auto& line : mistakes.lines)
+    for (const auto& line : errors.lines)
         message += (message.empty() ? "" : "\n") + line;
-    return bad(message);
+    return settingsError(message);
 }
 
 } // namespace wrenhinge
--- a/src/process/Settings.h
+++ b/src/process/Settings.h
@@ -53,7 +53,7 @@
     std::vector<std::string> seeds;
     /// How many controllers may be lost at once: the log keeps 2f + 1 voters where there are disks enough. Zero: as many as founded it.
     std::uint32_t toleratedFailures = 0;
-    std::string door; ///< Where replicas announce themselves and operators send routing documents.
+    std::string apiAddress; ///< Where replicas announce themselves and operators send routing documents.
     Duration electionTimeout = 400ms;
     Duration heartbeat = 80ms;
     /// Orders of two controllers to one engine lie at least this far apart. Zero: engines are given no orders.
@@ -70,7 +70,7 @@
     std::vector<std::string> controllers;
     std::vector<std::string> gateways; ///< Sidecars: whom to announce the upstream to.
     std::uint32_t workers = 2;
-    Duration drainLimit = 30s;
+    Duration drainTimeout = 30s;
     LogSettings log;
     CallerSettings callers;
     RetryBudgetSettings retries;
--- a/src/process/TimerService.cpp
+++ b/src/process/TimerService.cpp
@@ -12,7 +12,7 @@
     /// Subscribers with nothing to wait for name the end of time. The system's timer counts in nanoseconds and wraps round there:
     /// it fired at once, again and again, and an idle gateway took its whole share of the processor, so that the controller on
     /// the same machine did not get to start for 12 s after both were killed.
-    constexpr Duration longestSleep = 1h;
+    constexpr Duration maxTimeout = 1h;
 
 } // namespace
 
@@ -21,11 +21,11 @@
 {
 }
 
-TimerService::Subscriber TimerService::subscribe(std::function<void()> wake)
+TimerService::Subscriber TimerService::subscribe(std::function<void()> callback)
 {
     std::lock_guard lock(m_mutex);
-    m_wakes[++m_last] = std::move(wake);
-    return m_last;
+    m_callbacks[++m_lastSubscriber] = std::move(callback);
+    return m_lastSubscriber;
 }
 
 void TimerService::wakeAt(Subscriber subscriber, Instant when)
@@ -51,7 +51,7 @@
         return;
     m_armedFor = earliest;
     auto now = currentInstant();
-    m_timer.expires_after(earliest > now + longestSleep ? longestSleep : std::max(Duration::zero(), earliest - now));
+    m_timer.expires_after(earliest > now + maxTimeout ? maxTimeout : std::max(Duration::zero(), earliest - now));
     m_timer.async_wait([this](ErrorCode ec) {
         if (!ec)
             fire();
@@ -70,13 +70,13 @@
                 ++it;
                 continue;
             }
-            ready.push_back(m_wakes[it->first]);
+            ready.push_back(m_callbacks[it->first]);
             it = m_due.erase(it);
         }
         arm();
     }
-    for (const auto& wake : ready)
-        wake();
+    for (const auto& callback : ready)
+        callback();
 }
 
 } // namespace wrenhinge
--- a/src/process/TimerService.h
+++ b/src/process/TimerService.h
@@ -22,7 +22,7 @@
     explicit TimerService(IoContext&);
 
     /// `wake` is called on the worker pool, never under a lock of this service.
-    Subscriber subscribe(std::function<void()> wake);
+    Subscriber subscribe(std::function<void()> callback);
     /// Sets when the subscriber is called next; it is called once.
     void wakeAt(Subscriber, Instant);
     void stop();
@@ -33,11 +33,11 @@
 
     boost::asio::steady_timer m_timer;
     std::mutex m_mutex;
-    std::map<Subscriber, std::function<void()>> m_wakes;
+    std::map<Subscriber, std::function<void()>> m_callbacks;
     std::map<Subscriber, Instant> m_due;
     Instant m_armedFor;
     bool m_stopped = false;
-    Subscriber m_last = 0;
+    Subscriber m_lastSubscriber = 0;
 };
 
 } // namespace wrenhinge
--- a/test/correctness/LogTest.cpp
+++ b/test/correctness/LogTest.cpp
@@ -78,7 +78,7 @@
         EventLog log(toFile(path), "p");
         for (int i = 0; i < 500; ++i)
             log.write({ EventCode::PeerUp, {}, "peer " + std::to_string(i) });
-        CHECK(log.linesLeftOut() == 0);
+        CHECK(log.droppedLines() == 0);
     }
     auto text = textOf(path);
     CHECK(count(text, "\n") == 500);
@@ -96,12 +96,12 @@
         for (int i = 0; i < flood; ++i)
             log.write({ EventCode::RequestRefused, RequestId { PeerId(1), 7 }, "flood" });
         log.write({ EventCode::LeaderLost, {}, "rare" });
-        leftOut = log.linesLeftOut();
+        leftOut = log.droppedLines();
     }
     auto text = textOf(path);
     CHECK(leftOut > 0);
     CHECK(count(text, "flood") + leftOut == flood);
-    CHECK(count(text, "flood") >= EventLog::linesAtOnce);
+    CHECK(count(text, "flood") >= EventLog::burstLines);
     CHECK(count(text, "rare") == 1);
     std::uint64_t told = 0;
     const std::string mark = "name=LINES_LEFT_OUT process=p text=\"";
