--- a/src/process/AccountPages.h
+++ b/src/process/AccountPages.h
@@ -1,5 +1,5 @@
 /** \file
- * What a gateway shows operators of client accounts and their limits.
+ * The status page and the metrics of client accounts and their limits, as a gateway serves them to operators.
  */
 #pragma once
 
@@ -10,11 +10,11 @@
 
 namespace wrenhinge {
 
-/// All accounts, in the form that `wrenhinge accounts` reads.
+/// All accounts, as a JSON array that `wrenhinge accounts` reads.
 nlohmann::json accountsPage(AccountQuotas&, Instant now);
 
-/// Requests admitted and refused, in the Prometheus text form, of so many accounts as a metrics page can bear: those with the most
-/// refusals, and then with the most requests.
+/// Counters of admitted and refused requests per account, in the Prometheus text format. To keep the metrics page small, only the
+/// accounts with the most refused requests are included; among equals, those with the most admitted requests.
 std::string accountMetrics(AccountQuotas&);
 
 } // namespace wrenhinge
--- a/src/process/AdminPages.h
+++ b/src/process/AdminPages.h
@@ -1,5 +1,5 @@
 /** \file
- * The pages that the admin server of every role has: health, peers, time line; and the JSON forms that roles share.
+ * The admin pages that every role serves (health, readiness, peers, time line), and JSON conversions that the roles share.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace wrenhinge {
 
-/// Answers `/healthz`, `/readyz`, `/peers`, `/timeline`; nothing for other paths.
+/// Serves `/healthz`, `/readyz`, `/peers` and `/timeline`.
 class AdminPages {
 public:
     struct Sources {
@@ -23,8 +23,9 @@
 
     AdminPages(const Settings&, Runtime&, Sources);
 
+    /// \returns nothing if the path is not one of these pages.
     std::optional<AdminReply> answer(const AdminRequest&) const;
-    /// Name, role, place and identity, for the top of each status page.
+    /// Name, role, site, availability zone, peer id and admin address of this process, for the top of each status page.
     [[nodiscard]] nlohmann::json identity() const;
     void setAdminAddress(std::string address) { m_adminAddress = std::move(address); }
 
--- a/src/process/AdminServer.cpp
+++ b/src/process/AdminServer.cpp
@@ -54,7 +54,7 @@
         AdminServer::Handler m_handler;
     };
 
-    /// cxxtools can't tell which port the kernel chose, so the port is asked for with a socket of our own first.
+    /// Finds a free port by binding a temporary socket, since cxxtools does not report which port the kernel chose.
     std::uint16_t freePort(const Tcp::endpoint& endpoint)
     {
         IoContext io;
@@ -90,7 +90,7 @@
         return endpoint.error();
     auto ip = endpoint.value().address().to_string();
     m_impl = std::make_unique<Impl>(std::move(handler));
-    std::string why;
+    std::string reason;
     for (int i = 0; i < maxBindAttempts; ++i) {
         try {
             auto port = endpoint.value().port() ? endpoint.value().port() : freePort(endpoint.value());
@@ -98,12 +98,12 @@
             m_impl->thread = std::thread([impl = m_impl.get()] { impl->loop.run(); });
             return ip + ":" + std::to_string(port);
         } catch (const std::exception& e) {
-            why = e.what();
+            reason = e.what();
             if (endpoint.value().port())
                 break;
         }
     }
-    return Error { ResultCode::BadSettings, "can't listen for operators on " + address + ": " + why + "; choose another address" };
+    return Error { ResultCode::BadSettings, "can't listen for operators on " + address + ": " + reason + "; choose another address" };
 }
 
 void AdminServer::stop()
--- a/src/process/AdminServer.h
+++ b/src/process/AdminServer.h
@@ -1,8 +1,8 @@
 /** \file
- * The operators' side of each process: short JSON and text replies over HTTP, by the server of cxxtools.
+ * The HTTP server of each process for operators: short JSON and text replies, served by cxxtools.
  *
- * cxxtools gathers each reply whole before it sends it, which is right for these and wrong for token streams; the
- * request path therefore runs on CallerServer instead.
+ * cxxtools buffers each reply completely before sending it. That suits these replies, but not token streams, so inference requests
+ * are served by CallerServer instead.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 struct AdminRequest {
     std::string method;
     std::string path;
-    std::string query; ///< As it came, such as `request=…`.
+    std::string query; ///< As received, not decoded, such as `request=…`.
     std::string body;
 };
 
@@ -34,7 +34,7 @@
     AdminServer();
     ~AdminServer();
 
-    /// Serves `handler` on threads of its own. \returns the bound address.
+    /// Starts serving; `handler` is called on the server's own threads. \returns the bound address.
     Result<std::string> start(const std::string& address, Handler handler);
     void stop();
 
@@ -43,7 +43,7 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// The value of a parameter in a query, or empty.
+/// The value of a query parameter, not decoded, or empty if it is missing.
 std::string queryValue(const std::string& query, const std::string& name);
 
 } // namespace wrenhinge
--- a/src/process/EventLog.cpp
+++ b/src/process/EventLog.cpp
@@ -35,7 +35,7 @@
         default:
             break;
         }
-        // What happens several times for each request would drown the rest.
+        // Events that occur several times per request are logged at debug level, or they would hide the others.
         auto n = static_cast<int>(code);
         return n >= 200 && n < 400 ? log4cplus::DEBUG_LOG_LEVEL : log4cplus::INFO_LOG_LEVEL;
     }
@@ -46,7 +46,7 @@
         return instance;
     }
 
-    /// Gives formatted lines to a LineWriter and counts what that has no room for.
+    /// Passes formatted lines to a LineWriter and counts those dropped because its queue is full.
     class QueueAppender : public log4cplus::Appender {
     public:
         QueueAppender(LineWriter& writer, std::atomic<std::uint64_t>& droppedLines)
@@ -71,7 +71,7 @@
         std::atomic<std::uint64_t>& m_droppedLines;
     };
 
-    /// A text as a quoted value: what would end the quotes or the line is escaped.
+    /// Formats a text as a quoted logfmt value: escapes quotes and backslashes, and replaces line breaks by spaces.
     std::string quoted(const std::string& text)
     {
         std::string out = "\"";
@@ -165,16 +165,16 @@
     return true;
 }
 
-/// A gap in the log is told as soon as there is room for a line.
+/// Logs how many lines were dropped since the last such report, as soon as the queue has space for a line.
 void EventLog::reportDroppedLines()
 {
-    auto all = m_droppedLines.load();
+    auto total = m_droppedLines.load();
     auto reported = m_reportedDroppedLines.load();
-    if (all == reported || !m_reportedDroppedLines.compare_exchange_strong(reported, all))
+    if (total == reported || !m_reportedDroppedLines.compare_exchange_strong(reported, total))
         return;
-    writeLine(log4cplus::WARN_LOG_LEVEL, { EventCode::LinesLeftOut, {}, std::to_string(all - reported) + " lines" });
-    // No room for this line either: the next one tells.
-    if (m_droppedLines != all)
+    writeLine(log4cplus::WARN_LOG_LEVEL, { EventCode::LinesLeftOut, {}, std::to_string(total - reported) + " lines" });
+    // This line was dropped as well: the next call reports again.
+    if (m_droppedLines != total)
         m_reportedDroppedLines = reported;
 }
 
--- a/src/process/EventLog.h
+++ b/src/process/EventLog.h
@@ -1,11 +1,12 @@
 /** \file
- * Where notes go: the log (log4cplus) and this process's part of the time line.
+ * Writes events to the log (log4cplus) and to this process's part of the time line.
  *
- * A line is logfmt: time, level, event, name, process, request if it is about one, text in quotes. Logging never waits (LineWriter),
- * and each event has a rate: what goes beyond is left out and counted, the first lines of an event never.
+ * Log lines are in logfmt: time, level, event, name, process, request if the event concerns one, and the quoted text. Logging never
+ * blocks (LineWriter). The lines of each event code are rate-limited by a token bucket: lines beyond the rate are dropped and counted,
+ * but never those of the initial burst.
  *
- * The time line keeps the newest events in memory, each with a hybrid logical stamp, and `wrenhinge timeline` merges
- * those of all processes. Stamps travel with every message between processes.
+ * The time line keeps the newest events in memory, each with a hybrid logical timestamp, and `wrenhinge timeline` merges the time lines
+ * of all processes. Every message between processes contains a timestamp.
  */
 #pragma once
 
@@ -27,18 +28,20 @@
 struct TimelineEvent {
     HybridTime stamp;
     EventCode code = EventCode::ProcessStarted;
-    std::string request; ///< Empty: not about a request.
+    std::string request; ///< Empty: the event does not concern a request.
     std::string text;
 };
 
 class EventLog {
 public:
     static constexpr std::size_t maxEvents = 50000;
-    /// Lines of one event: this many at once, then this many a second. The heaviest gateway seen writes 60 a second of one event.
+    /// Token bucket of each event code: its depth in lines, and the lines per second that refill it. The busiest gateway so far wrote
+    /// 60 lines of one event per second.
     static constexpr double burstLines = 1000;
     static constexpr double linesPerSecond = 200;
 
-    /// Starts log4cplus as the settings say. `process` names this process in each line.
+    /// Initializes log4cplus. Falls back to standard error if the log file can't be opened. \param process the name of this process in
+    /// each line.
     EventLog(const LogSettings&, std::string process);
     ~EventLog();
     EventLog(const EventLog&) = delete;
@@ -46,12 +49,14 @@
 
     void write(const LogEvent&);
     void setLevel(const std::string& level);
-    /// Lines that were left out since the start, for want of room or beyond the rate of their event.
+    /// The number of lines dropped since the start, because the queue was full or the rate of their event was exceeded.
     [[nodiscard]] std::uint64_t droppedLines() const { return m_droppedLines; }
-    /// The kept events, of one request if `request` is given.
+    /// The events in memory, or only those of one request unless `request` is empty.
     [[nodiscard]] std::vector<TimelineEvent> events(const std::string& request) const;
 
+    /// \returns the timestamp for a message that is about to be sent.
     HybridTime stampSend();
+    /// Advances the clock beyond the timestamp of a received message.
     void stampReceive(HybridTime);
 
 private:
@@ -65,11 +70,11 @@
     void writeLine(int level, const LogEvent&);
 
     std::string m_process;
-    int m_file = -1; ///< Open while the log goes to a file.
+    int m_file = -1; ///< Descriptor of the log file, or -1 if the log is not written to a file.
     std::atomic<std::uint64_t> m_droppedLines = 0;
-    std::atomic<std::uint64_t> m_reportedDroppedLines = 0; ///< The part of them that a line in the log has told of.
+    std::atomic<std::uint64_t> m_reportedDroppedLines = 0; ///< How many of them a log line has reported.
     std::unique_ptr<LineWriter> m_writer;
-    mutable std::mutex m_mutex; ///< Guards what follows; nothing else is locked under it.
+    mutable std::mutex m_mutex; ///< Guards the members below; no other lock is taken while it is held.
     HybridClock m_clock;
     std::deque<TimelineEvent> m_events;
     std::map<EventCode, TokenBucket> m_buckets;
--- a/src/process/LineWriter.cpp
+++ b/src/process/LineWriter.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    /// A pipe that polls as writable takes this much without blocking (PIPE_BUF).
+    /// A pipe that poll() reports as writable accepts this many bytes without blocking (PIPE_BUF).
     constexpr std::size_t bytesPerWrite = 4096;
     constexpr int pollMilliseconds = 50;
 
@@ -38,9 +38,9 @@
     std::lock_guard lock(m_mutex);
     if (m_queue.size() + m_bytesBeingWritten + line.size() > maxQueuedBytes)
         return false;
-    bool isFirst = m_queue.empty();
+    bool wasEmpty = m_queue.empty();
     m_queue += line;
-    if (isFirst)
+    if (wasEmpty)
         m_changed.notify_one();
     return true;
 }
@@ -70,7 +70,8 @@
     }
 }
 
-/// Waits for room for a moment and writes what surely does not block. \returns false if nobody will ever read.
+/// Waits up to `pollMilliseconds` for the descriptor to become writable, then writes as much as is certain not to block. \returns false
+/// if the descriptor can't be written any more, for example because the reading end of the pipe is closed.
 bool LineWriter::writeSome(std::string& bytes) const
 {
     pollfd descriptor { m_fd, POLLOUT, 0 };
--- a/src/process/Metrics.h
+++ b/src/process/Metrics.h
@@ -1,7 +1,8 @@
 /** \file
- * What a gateway measures, in Boost.Histogram, and its text form for Prometheus.
+ * The metrics of a gateway (counters, gauges, and latencies in Boost.Histogram) and their Prometheus text format.
  *
- * Goodput under both latency targets and wasted prefill come first: they are what the users weigh.
+ * Goodput, which counts the requests answered within both latency targets, and wasted prefill tokens matter most to users and therefore
+ * come first.
  */
 #pragma once
 
@@ -17,9 +18,9 @@
 class Metrics {
 public:
     void record(const RequestSummary&);
-    /// A gauge such as requests in progress; the name must be a Prometheus one.
+    /// Sets a gauge, such as requests in progress. \param name must be a valid Prometheus metric name.
     void setGauge(const std::string& name, double value);
-    /// The Prometheus text form.
+    /// All metrics in the Prometheus text format.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/src/process/Settings.cpp
+++ b/src/process/Settings.cpp
@@ -21,7 +21,7 @@
         return text;
     }
 
-    /// A name that can stand in paths of the configuration and in logs.
+    /// Parses a name that is safe in configuration paths and in logs.
     Result<std::string> parseName(const std::string& text)
     {
         bool isValid = !text.empty() && text.size() <= 64
@@ -84,7 +84,7 @@
         return value;
     }
 
-    /// Each loss costs two more voters, and every change waits for a majority of them.
+    /// Each failure to tolerate requires two more voters, and every commit waits for a majority of them.
     constexpr std::uint64_t maxToleratedFailures = 10;
     Result<std::uint64_t> parseToleratedFailures(const std::string& text)
     {
--- a/src/process/Settings.h
+++ b/src/process/Settings.h
@@ -1,8 +1,8 @@
 /** \file
- * The settings of one daemon, read from YAML and checked whole before anything starts.
+ * The settings of one daemon, read from YAML and validated completely before anything starts.
  *
- * Every mistake is reported with file, line, key and mend, all of them at once. A key that isn't known is a mistake: a
- * misspelt limit that is silently ignored shows only in the next outage. Quantities carry their unit.
+ * All errors are reported at once, each with file, line, key and a hint how to correct it. An unknown key is an error, since a misspelt
+ * limit that is silently ignored would only be noticed in the next outage. Quantities are written with their unit.
  */
 #pragma once
 
@@ -19,7 +19,7 @@
 
 struct LogSettings {
     std::string level = "info"; ///< trace, debug, info, warn, error.
-    std::string file; ///< Empty: standard error, or standard output.
+    std::string file; ///< Empty: standard error, or standard output if `toStandardOutput` is set.
     bool toStandardOutput = false;
 };
 
@@ -34,9 +34,9 @@
     Duration announceEvery = 100ms;
 };
 
-/// A sidecar that only decides who may use an engine's memory: gateways dial it and call the engine themselves.
+/// Settings of a sidecar that only does admission control for an engine's KV memory; gateways connect to it and call the engine directly.
 struct EngineSettings {
-    std::string address; ///< Empty: the sidecar stands before an upstream.
+    std::string address; ///< Empty: the sidecar is a proxy in front of an upstream instead.
     double spareDeviations = 2; ///< See EngineAdmission::Settings.
 };
 
@@ -46,17 +46,19 @@
 };
 
 struct ControllerSettings {
-    std::string data; ///< Empty: no disk. Such a controller found its group by seeds, learns the log and never votes.
+    std::string data; ///< Empty: no disk. Such a controller finds its cluster through `seeds`, replicates the log and never votes.
     std::vector<MemberSettings> members;
     bool isNewCluster = false;
-    /// Where the log's members change while it runs: the peer addresses of some controllers, the founders at the first start.
+    /// For a cluster whose members change at run time, instead of `members`: the peer addresses of some controllers. At the first start
+    /// these are the initial members.
     std::vector<std::string> seeds;
-    /// How many controllers may be lost at once: the log keeps 2f + 1 voters where there are disks enough. Zero: as many as founded it.
+    /// How many controllers (f) may fail at the same time: the log has 2f + 1 voters if enough controllers have disks. Zero: as many
+    /// voters as initial members.
     std::uint32_t toleratedFailures = 0;
-    std::string apiAddress; ///< Where replicas announce themselves and operators send routing documents.
+    std::string apiAddress; ///< Where replicas announce themselves and operators upload routing documents.
     Duration electionTimeout = 400ms;
     Duration heartbeat = 80ms;
-    /// Orders of two controllers to one engine lie at least this far apart. Zero: engines are given no orders.
+    /// Minimum time between the orders that two controllers send to the same engine. Zero: no orders are sent to engines.
     Duration orderLease {};
 };
 
@@ -65,26 +67,26 @@
     std::string name;
     std::string site;
     std::string zone;
-    std::string listen; ///< For other wrenhinge processes; sidecars have none.
+    std::string listen; ///< For other wrenhinge processes. Empty for a sidecar with an upstream.
     std::string admin;
     std::vector<std::string> controllers;
-    std::vector<std::string> gateways; ///< Sidecars: whom to announce the upstream to.
+    std::vector<std::string> gateways; ///< Sidecars: the gateways to which the upstream is announced.
     std::uint32_t workers = 2;
     Duration drainTimeout = 30s;
     LogSettings log;
     CallerSettings callers;
     RetryBudgetSettings retries;
     QuotaSettings quotas;
-    std::uint32_t controllerPort = 0; ///< Set: the controllers' peers port, whatever port their addresses name.
-    std::uint32_t sidecarPort = 0; ///< Gateways: where the sidecar of an engine listens on its machine; zero: there are none.
+    std::uint32_t controllerPort = 0; ///< If not zero, the peer port of all controllers; replaces the port in their addresses.
+    std::uint32_t sidecarPort = 0; ///< Gateways: the port of an engine's sidecar on the engine's machine. Zero: no sidecars.
     UpstreamSettings upstream;
     EngineSettings engine;
     ControllerSettings controller;
 };
 
-/// Reads and checks a settings file. The error's message holds one line for each mistake: `file:line: key: mend`.
+/// Reads and validates a settings file. The error message has one line for each mistake: `file:line: key: hint`.
 Result<Settings> readSettings(const std::string& file);
-/// The same from text; `file` is only named in messages.
+/// The same from a text. \param file only used in error messages.
 Result<Settings> parseSettings(const std::string& text, const std::string& file);
 
 std::string_view nameOf(Role);
--- a/src/process/TimeHistogram.cpp
+++ b/src/process/TimeHistogram.cpp
@@ -26,11 +26,11 @@
 void TimeHistogram::print(std::string& out, const std::string& name, const std::string& help) const
 {
     out += "# HELP " + name + " " + help + "\n# TYPE " + name + " histogram\n";
-    double below = m_histogram.at(-1);
+    double cumulativeCount = m_histogram.at(-1);
     for (unsigned i = 0; i < bins; ++i) {
-        below += m_histogram.at(static_cast<int>(i));
-        out += name + "_bucket{le=\"" + metricNumber(m_histogram.axis().bin(static_cast<int>(i)).upper()) + "\"} " + metricNumber(below)
-            + "\n";
+        cumulativeCount += m_histogram.at(static_cast<int>(i));
+        out += name + "_bucket{le=\"" + metricNumber(m_histogram.axis().bin(static_cast<int>(i)).upper()) + "\"} "
+            + metricNumber(cumulativeCount) + "\n";
     }
     out += name + "_bucket{le=\"+Inf\"} " + std::to_string(m_count) + "\n";
     out += name + "_sum " + metricNumber(m_sum) + "\n" + name + "_count " + std::to_string(m_count) + "\n";
--- a/src/process/TimeHistogram.h
+++ b/src/process/TimeHistogram.h
@@ -1,5 +1,5 @@
 /** \file
- * A histogram of times (Boost.Histogram) with its text form for Prometheus, as the metrics of each role use it.
+ * A histogram of durations (Boost.Histogram) with its Prometheus text format, used by the metrics of each role.
  */
 #pragma once
 
@@ -12,11 +12,11 @@
 
 class TimeHistogram {
 public:
-    /// Buckets on a logarithmic scale. \param shortest, longest in seconds.
+    /// Creates buckets on a logarithmic scale. \param shortest, longest bounds of the scale in seconds.
     TimeHistogram(double shortest, double longest);
 
     void add(Duration);
-    /// Appends the histogram under this name; times are in seconds.
+    /// Appends the histogram as a Prometheus metric to `out`; durations are in seconds.
     void print(std::string& out, const std::string& name, const std::string& help) const;
 
 private:
@@ -28,9 +28,9 @@
     std::uint64_t m_count = 0;
 };
 
-/// A number as Prometheus reads it.
+/// Formats a number for Prometheus, with up to nine significant digits.
 std::string metricNumber(double);
-/// A gauge without labels.
+/// Formats a gauge without labels in the Prometheus text format.
 std::string metricGauge(const std::string& name, double value);
 
 } // namespace wrenhinge
--- a/src/process/TimerService.cpp
+++ b/src/process/TimerService.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-    /// Subscribers with nothing to wait for name the end of time. The system's timer counts in nanoseconds and wraps round there:
-    /// it fired at once, again and again, and an idle gateway took its whole share of the processor, so that the controller on
-    /// the same machine did not get to start for 12 s after both were killed.
+    /// Longest timeout for which the timer is armed. Subscribers without a deadline use the maximum instant, at which the system's timer
+    /// overflows, since it counts in nanoseconds. Without this limit it fired immediately and repeatedly: an idle gateway used its whole
+    /// share of the CPU, and a controller on the same machine took 12 s to start after both had been killed.
     constexpr Duration maxTimeout = 1h;
 
 } // namespace
@@ -31,7 +31,7 @@
 void TimerService::wakeAt(Subscriber subscriber, Instant when)
 {
     std::lock_guard lock(m_mutex);
-    m_due[subscriber] = when;
+    m_deadlines[subscriber] = when;
     arm();
 }
 
@@ -44,9 +44,11 @@
 
 void TimerService::arm()
 {
-    if (m_due.empty() || m_stopped)
+    if (m_deadlines.empty() || m_stopped)
         return;
-    auto earliest = std::min_element(m_due.begin(), m_due.end(), [](const auto& a, const auto& b) { return a.second < b.second; })->second;
+    auto earliest = std::min_element(m_deadlines.begin(), m_deadlines.end(), [](const auto& a, const auto& b) {
+        return a.second < b.second;
+    })->second;
     if (m_armedFor == earliest)
         return;
     m_armedFor = earliest;
@@ -65,13 +67,13 @@
         std::lock_guard lock(m_mutex);
         m_armedFor = {};
         auto now = currentInstant();
-        for (auto it = m_due.begin(); it != m_due.end();) {
+        for (auto it = m_deadlines.begin(); it != m_deadlines.end();) {
             if (it->second > now) {
                 ++it;
                 continue;
             }
             ready.push_back(m_callbacks[it->first]);
-            it = m_due.erase(it);
+            it = m_deadlines.erase(it);
         }
         arm();
     }
--- a/src/process/TimerService.h
+++ b/src/process/TimerService.h
@@ -1,8 +1,8 @@
 /** \file
- * The one timer of a process, which its parts subscribe to.
+ * A timer that is shared by all components of a process.
  *
- * A subscriber names the instant at which it next wants to be called; naming another one replaces it. One operating
- * system timer serves them all.
+ * Each subscriber has at most one deadline, at which its callback is called; setting a new deadline replaces the previous one. All
+ * subscribers share one asio timer.
  */
 #pragma once
 
@@ -21,9 +21,9 @@
 
     explicit TimerService(IoContext&);
 
-    /// `wake` is called on the worker pool, never under a lock of this service.
+    /// \param callback called on the worker pool, never while a lock of this service is held.
     Subscriber subscribe(std::function<void()> callback);
-    /// Sets when the subscriber is called next; it is called once.
+    /// Sets the subscriber's deadline, at which its callback is called once.
     void wakeAt(Subscriber, Instant);
     void stop();
 
@@ -34,7 +34,7 @@
     boost::asio::steady_timer m_timer;
     std::mutex m_mutex;
     std::map<Subscriber, std::function<void()>> m_callbacks;
-    std::map<Subscriber, Instant> m_due;
+    std::map<Subscriber, Instant> m_deadlines;
     Instant m_armedFor;
     bool m_stopped = false;
     Subscriber m_lastSubscriber = 0;
