--- a/src/process/AdminServer.cpp
+++ b/src/process/AdminServer.cpp
@@ -103,7 +103,7 @@
                 break;
         }
     }
-    return Error { ResultCode::BadSettings, "can't listen for operators on " + address + ": " + reason + "; choose another address" };
+    return Error { ResultCode::BadSettings, "can't listen for admin requests on " + address + ": " + reason + "; choose another address" };
 }
 
 void AdminServer::stop()
--- a/src/process/EventLog.cpp
+++ b/src/process/EventLog.cpp
@@ -102,7 +102,7 @@
     logger().setAdditivity(false);
     setLevel(settings.level);
     if (!settings.file.empty() && m_file < 0)
-        write({ EventCode::LogFileRefused, {}, settings.file + " can't be opened; the log goes to standard error" });
+        write({ EventCode::LogFileRefused, {}, settings.file + " can't be opened; the log is written to standard error" });
 }
 
 EventLog::~EventLog()
--- a/src/process/Settings.cpp
+++ b/src/process/Settings.cpp
@@ -27,7 +27,7 @@
         bool isValid = !text.empty() && text.size() <= 64
             && std::all_of(text.begin(), text.end(), [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_' || c == '.'; });
         if (!isValid)
-            return settingsError("'" + text + "' is no name: use up to 64 letters, digits, '-', '_' and '.'");
+            return settingsError("'" + text + "' is not a valid name: use up to 64 letters, digits, '-', '_' and '.'");
         return text;
     }
 
@@ -45,7 +45,7 @@
         for (std::string part; std::getline(parts, part, '.'); ++dots)
             isIp = isIp && isDigits(part) && part.size() <= 3 && std::stoi(part) <= 255;
         if (!isIp || dots != 4 || !isDigits(port) || port.size() > 5 || std::stoul(port) > 65535)
-            return settingsError("'" + text + "' is no address: write IP:PORT, such as 127.0.0.1:8080");
+            return settingsError("'" + text + "' is not a valid address: write IP:PORT, such as 127.0.0.1:8080");
         return text;
     }
 
@@ -55,7 +55,7 @@
             if (text == nameOf(role))
                 return role;
         }
-        return settingsError("'" + text + "' is no role: write gateway, sidecar or controller");
+        return settingsError("'" + text + "' is not a role: write gateway, sidecar or controller");
     }
 
     Result<UpstreamKind> parseKind(const std::string& text)
@@ -64,7 +64,7 @@
             if (text == nameOf(kind))
                 return kind;
         }
-        return settingsError("'" + text + "' is no kind: write prefill, decode or plain");
+        return settingsError("'" + text + "' is not a kind of upstream: write prefill, decode or plain");
     }
 
     Result<std::string> parseLevel(const std::string& text)
@@ -73,7 +73,7 @@
             if (text == level)
                 return text;
         }
-        return settingsError("'" + text + "' is no level: write trace, debug, info, warn or error");
+        return settingsError("'" + text + "' is not a log level: write trace, debug, info, warn or error");
     }
 
     Result<std::uint64_t> parsePositive(const std::string& text)
@@ -109,7 +109,7 @@
         char* end = nullptr;
         double value = std::strtod(text.c_str(), &end);
         if (text.empty() || *end || !(value >= 0) || value > 1e6)
-            return settingsError("'" + text + "' is no quantity: write a number from 0 on, such as 0.2");
+            return settingsError("'" + text + "' is not a valid quantity: write a number from 0 to 1000000, such as 0.2");
         return value;
     }
 
@@ -146,7 +146,7 @@
         node.optional("lease", upstream.lease, parsePositiveDuration);
         node.optional("announce-every", upstream.announceEvery, parsePositiveDuration);
         if (upstream.announceEvery * 2 > upstream.lease)
-            node.addError("announce-every", "must be at most half the lease, or a single lost announcement ends it");
+            node.addError("announce-every", "must be at most half the lease, or a single lost announcement lets it expire");
         node.reportUnknownKeys();
     }
 
@@ -174,17 +174,18 @@
         node.optional("heartbeat", controller.heartbeat, parsePositiveDuration);
         node.optional("order-lease", controller.orderLease, parsePositiveDuration);
         if (controller.heartbeat * 3 > controller.electionTimeout)
-            node.addError("heartbeat", "must be at most a third of the election timeout, or one lost message ends a leadership");
+            node.addError("heartbeat", "must be at most a third of the election timeout, or a single lost heartbeat triggers an election");
         node.reportUnknownKeys();
         if (!controller.seeds.empty()) {
             if (!controller.members.empty())
-                node.addError("members", "are found by `seeds` here; remove one of the two");
+                node.addError("members", "can't be combined with `seeds`; remove one of the two");
             return;
         }
         if (controller.data.empty())
             node.addMissing("data");
         if (controller.toleratedFailures)
-            node.addError("losses-to-bear", "needs `seeds`: listed `members` don't change; list two for each loss and one more");
+            node.addError(
+                "losses-to-bear", "needs `seeds`: the list of `members` is fixed; list two for each failure to tolerate and one more");
         auto isSelf = [&self](const MemberSettings& member) { return member.name == self; };
         if (std::count_if(controller.members.begin(), controller.members.end(), isSelf) != 1)
             node.addError("members", "must list this controller '" + self + "' exactly once");
@@ -291,7 +292,7 @@
     try {
         auto node = YAML::Load(text);
         if (!node.IsMap())
-            return settingsError(file + ":1: the file holds no settings; write `role: …` and the rest as a map");
+            return settingsError(file + ":1: the file contains no settings; write `role: …` and the rest as a map");
         SettingsNode root(node, "", errors);
         readAll(root, settings);
     } catch (const YAML::Exception& e) {
