--- a/src/process/LogicDriver.h
+++ b/src/process/LogicDriver.h
@@ -75,7 +75,7 @@
     Carry m_carry;
     Event m_tick;
     Logic m_logic;
-    TimerService::Subscriber m_subscriber;
+    TimerService::SubscriberId m_subscriber;
 };
 
 } // namespace wrenhinge
--- a/src/process/Settings.h
+++ b/src/process/Settings.h
@@ -46,7 +46,8 @@
 };
 
 struct ControllerSettings {
-    std::string data; ///< Empty: no disk. Such a controller finds its cluster through `seeds`, replicates the log and never votes.
+    /// Data directory. Empty: no disk; such a controller finds its cluster through `seeds`, replicates the log and never votes.
+    std::string data;
     std::vector<MemberSettings> members;
     bool isNewCluster = false;
     /// For a cluster whose members change at run time, instead of `members`: the peer addresses of some controllers. At the first start
--- a/src/process/TimerService.cpp
+++ b/src/process/TimerService.cpp
@@ -21,14 +21,14 @@
 {
 }
 
-TimerService::Subscriber TimerService::subscribe(std::function<void()> callback)
+TimerService::SubscriberId TimerService::subscribe(std::function<void()> callback)
 {
     std::lock_guard lock(m_mutex);
     m_callbacks[++m_lastSubscriber] = std::move(callback);
     return m_lastSubscriber;
 }
 
-void TimerService::wakeAt(Subscriber subscriber, Instant when)
+void TimerService::wakeAt(SubscriberId subscriber, Instant when)
 {
     std::lock_guard lock(m_mutex);
     m_deadlines[subscriber] = when;
--- a/src/process/TimerService.h
+++ b/src/process/TimerService.h
@@ -17,14 +17,14 @@
 
 class TimerService {
 public:
-    using Subscriber = std::uint64_t;
+    using SubscriberId = std::uint64_t;
 
     explicit TimerService(IoContext&);
 
     /// \param callback called on the worker pool, never while a lock of this service is held.
-    Subscriber subscribe(std::function<void()> callback);
+    SubscriberId subscribe(std::function<void()> callback);
     /// Sets the subscriber's deadline, at which its callback is called once.
-    void wakeAt(Subscriber, Instant);
+    void wakeAt(SubscriberId, Instant);
     void stop();
 
 private:
@@ -33,11 +33,11 @@
 
     boost::asio::steady_timer m_timer;
     std::mutex m_mutex;
-    std::map<Subscriber, std::function<void()>> m_callbacks;
-    std::map<Subscriber, Instant> m_deadlines;
+    std::map<SubscriberId, std::function<void()>> m_callbacks;
+    std::map<SubscriberId, Instant> m_deadlines;
     Instant m_armedFor;
     bool m_stopped = false;
-    Subscriber m_lastSubscriber = 0;
+    SubscriberId m_lastSubscriber = 0;
 };
 
 } // namespace wrenhinge
