--- a/src/process/AdminServer.cpp
+++ b/src/process/AdminServer.cpp
@@ -54,7 +54,7 @@
         AdminServer::Handler m_handler;
     };
 
-    /// cxxtools can't tell which port the kernel chose, so the port is asked for with a socket of our own first.
+    /// Finds a free port by binding a temporary socket, since cxxtools does not report which port the kernel chose.
     std::uint16_t freePort(const Tcp::endpoint& endpoint)
     {
         IoContext io;
@@ -103,7 +103,7 @@
                 break;
         }
     }
-    return Error { ResultCode::BadSettings, "can't listen for operators on " + address + ": " + reason + "; choose another address" };
+    return Error { ResultCode::BadSettings, "can't listen for admin requests on " + address + ": " + reason + "; choose another address" };
 }
 
 void AdminServer::stop()
--- a/src/process/EventLog.cpp
+++ b/src/process/EventLog.cpp
@@ -35,7 +35,7 @@
         default:
             break;
         }
-        // What happens several times for each request would drown the rest.
+        // Events that occur several times per request are logged at debug level, or they would hide the others.
         auto n = static_cast<int>(code);
         return n >= 200 && n < 400 ? log4cplus::DEBUG_LOG_LEVEL : log4cplus::INFO_LOG_LEVEL;
     }
@@ -46,7 +46,7 @@
         return instance;
     }
 
-    /// Gives formatted lines to a LineWriter and counts what that has no room for.
+    /// Passes formatted lines to a LineWriter and counts those dropped because its queue is full.
     class QueueAppender : public log4cplus::Appender {
     public:
         QueueAppender(LineWriter& writer, std::atomic<std::uint64_t>& droppedLines)
@@ -71,7 +71,7 @@
         std::atomic<std::uint64_t>& m_droppedLines;
     };
 
-    /// A text as a quoted value: what would end the quotes or the line is escaped.
+    /// Formats a text as a quoted logfmt value: escapes quotes and backslashes, and replaces line breaks by spaces.
     std::string quoted(const std::string& text)
     {
         std::string out = "\"";
@@ -102,7 +102,7 @@
     logger().setAdditivity(false);
     setLevel(settings.level);
     if (!settings.file.empty() && m_file < 0)
-        write({ EventCode::LogFileRefused, {}, settings.file + " can't be opened; the log goes to standard error" });
+        write({ EventCode::LogFileRefused, {}, settings.file + " can't be opened; the log is written to standard error" });
 }
 
 EventLog::~EventLog()
@@ -165,7 +165,7 @@
     return true;
 }
 
-/// A gap in the log is told as soon as there is room for a line.
+/// Logs how many lines were dropped since the last such report, as soon as the queue has space for a line.
 void EventLog::reportDroppedLines()
 {
     auto total = m_droppedLines.load();
@@ -173,7 +173,7 @@
     if (total == reported || !m_reportedDroppedLines.compare_exchange_strong(reported, total))
         return;
     writeLine(log4cplus::WARN_LOG_LEVEL, { EventCode::LinesLeftOut, {}, std::to_string(total - reported) + " lines" });
-    // No room for this line either: the next one tells.
+    // This line was dropped as well: the next call reports again.
     if (m_droppedLines != total)
         m_reportedDroppedLines = reported;
 }
--- a/src/process/TimerService.cpp
+++ b/src/process/TimerService.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-    /// Subscribers with nothing to wait for name the end of time. The system's timer counts in nanoseconds and wraps round there:
-    /// it fired at once, again and again, and an idle gateway took its whole share of the processor, so that the controller on
-    /// the same machine did not get to start for 12 s after both were killed.
+    /// Longest timeout for which the timer is armed. Subscribers without a deadline use the maximum instant, at which the system's timer
+    /// overflows, since it counts in nanoseconds. Without this limit it fired immediately and repeatedly: an idle gateway used its whole
+    /// share of the CPU, and a controller on the same machine took 12 s to start after both had been killed.
     constexpr Duration maxTimeout = 1h;
 
 } // namespace
