--- a/src/tool/AccountsCommand.cpp
+++ b/src/tool/AccountsCommand.cpp
@@ -15,67 +15,68 @@
 
     using Json = nlohmann::json;
 
-    struct AccountUse {
+    struct AccountTotals {
         std::string unit;
         double limit = 0;
         double used = 0;
-        double left = 0; ///< At the gateway that has least.
+        double remaining = 0; ///< At the gateway that has least.
         std::uint64_t admitted = 0;
         std::uint64_t refused = 0;
         std::size_t gateways = 0;
-        std::size_t alone = 0; ///< Gateways that hear of no others.
+        std::size_t isolatedGateways = 0; ///< Gateways that hear of no others.
     };
 
-    void add(AccountUse& sum, const Json& account)
+    void accumulate(AccountTotals& totals, const Json& account)
     {
-        sum.unit = account.value("unit", "");
-        sum.limit = account.value("limit_per_second", 0.0);
-        sum.used += account.value("used_here_per_second", 0.0);
-        auto left = account.value("left", 0.0);
-        sum.left = sum.gateways ? std::min(sum.left, left) : left;
-        sum.admitted += account.value("admitted", std::uint64_t());
-        sum.refused += account.value("refused", std::uint64_t());
-        sum.alone += account.value("hears_others", true) ? 0 : 1;
-        ++sum.gateways;
+        totals.unit = account.value("unit", "");
+        totals.limit = account.value("limit_per_second", 0.0);
+        totals.used += account.value("used_here_per_second", 0.0);
+        auto remaining = account.value("left", 0.0);
+        totals.remaining = totals.gateways ? std::min(totals.remaining, remaining) : remaining;
+        totals.admitted += account.value("admitted", std::uint64_t());
+        totals.refused += account.value("refused", std::uint64_t());
+        totals.isolatedGateways += account.value("hears_others", true) ? 0 : 1;
+        ++totals.gateways;
     }
 
-    Result<std::map<std::string, AccountUse>> collect(const Options& options)
+    Result<std::map<std::string, AccountTotals>> collectAccounts(const Options& options)
     {
-        auto processes = findProcesses(options.admin);
+        auto processes = discoverProcesses(options.admin);
         if (!processes)
             return processes.error();
-        std::map<std::string, AccountUse> accounts;
+        std::map<std::string, AccountTotals> accounts;
         for (const auto& process : processes.value()) {
             if (process.role != "gateway")
                 continue;
-            auto answer = callAdmin(process.admin, "GET", "/accounts");
-            if (!answer || !answer.value().json.is_array())
+            auto response = callAdmin(process.admin, "GET", "/accounts");
+            if (!response || !response.value().json.is_array())
                 continue;
-            for (const auto& account : answer.value().json)
-                add(accounts[account.value("name", "")], account);
+            for (const auto& account : response.value().json)
+                accumulate(accounts[account.value("name", "")], account);
         }
         return accounts;
     }
 
-    std::string whole(double n) { return std::to_string(std::llround(n)); }
+    std::string rounded(double n) { return std::to_string(std::llround(n)); }
 
 } // namespace
 
 int runAccounts(const Options& options)
 {
-    auto accounts = collect(options);
+    auto accounts = collectAccounts(options);
     if (!accounts)
         return fail(accounts.error().message, ExitUnreachable);
-    auto all = Json::array();
+    auto rows = Json::array();
     Table table({ "ACCOUNT", "UNIT", "LIMIT/S", "USED/S", "LEFT", "ADMITTED", "REFUSED", "GATEWAYS", "ALONE" });
-    for (const auto& [name, use] : accounts.value()) {
-        all.push_back({ { "name", name }, { "unit", use.unit }, { "limit_per_second", use.limit }, { "used_per_second", use.used },
-            { "left", use.left }, { "admitted", use.admitted }, { "refused", use.refused }, { "gateways", use.gateways },
-            { "alone", use.alone } });
-        table.add({ name, use.unit, use.limit > 0 ? whole(use.limit) : "-", whole(use.used), use.limit > 0 ? whole(use.left) : "-",
-            std::to_string(use.admitted), std::to_string(use.refused), std::to_string(use.gateways), std::to_string(use.alone) });
+    for (const auto& [name, totals] : accounts.value()) {
+        rows.push_back({ { "name", name }, { "unit", totals.unit }, { "limit_per_second", totals.limit },
+            { "used_per_second", totals.used }, { "left", totals.remaining }, { "admitted", totals.admitted },
+            { "refused", totals.refused }, { "gateways", totals.gateways }, { "alone", totals.isolatedGateways } });
+        table.addRow({ name, totals.unit, totals.limit > 0 ? rounded(totals.limit) : "-", rounded(totals.used),
+            totals.limit > 0 ? rounded(totals.remaining) : "-", std::to_string(totals.admitted), std::to_string(totals.refused),
+            std::to_string(totals.gateways), std::to_string(totals.isolatedGateways) });
     }
-    std::cout << (options.json ? all.dump(2) + "\n" : table.text());
+    std::cout << (options.json ? rows.dump(2) + "\n" : table.text());
     return ExitOk;
 }
 
--- a/src/tool/AdminClient.cpp
+++ b/src/tool/AdminClient.cpp
@@ -10,21 +10,21 @@
 
 namespace {
 
-    constexpr int timeoutMs = 8000;
+    constexpr int requestTimeoutMs = 8000;
 
-    Error unreachable(const std::string& address, const std::string& why)
+    Error unreachableError(const std::string& address, const std::string& why)
     {
         return { ResultCode::ConnectFailed, "no answer from " + address + ": " + why + "; check --admin" };
     }
 
 } // namespace
 
-Result<AdminAnswer> callAdmin(const std::string& address, const std::string& method, const std::string& path, const std::string& body)
+Result<AdminResponse> callAdmin(const std::string& address, const std::string& method, const std::string& path, const std::string& body)
 {
     auto colon = address.rfind(':');
     auto port = colon == std::string::npos ? std::string() : address.substr(colon + 1);
     if (port.empty() || port.size() > 5 || port.find_first_not_of("0123456789") != std::string::npos)
-        return unreachable(address, "it is not IP:PORT");
+        return unreachableError(address, "it is not IP:PORT");
     try {
         cxxtools::http::Client client(address.substr(0, colon), static_cast<unsigned short>(std::stoul(port)));
         auto query = path.find('?');
@@ -34,42 +34,42 @@
             request.qparams(path.substr(query + 1));
         if (!body.empty())
             request.body() << body;
-        client.execute(request, cxxtools::Milliseconds(timeoutMs));
+        client.execute(request, cxxtools::Milliseconds(requestTimeoutMs));
         const auto& reply = client.readBody();
-        AdminAnswer answer { static_cast<int>(reply.httpReturnCode()), {}, reply.body() };
-        answer.json = nlohmann::json::parse(answer.text, nullptr, false);
-        return answer;
+        AdminResponse response { static_cast<int>(reply.httpReturnCode()), {}, reply.body() };
+        response.json = nlohmann::json::parse(response.text, nullptr, false);
+        return response;
     } catch (const std::exception& e) {
-        return unreachable(address, e.what());
+        return unreachableError(address, e.what());
     }
 }
 
-Result<std::vector<KnownProcess>> findProcesses(const std::string& address)
+Result<std::vector<ProcessInfo>> discoverProcesses(const std::string& address)
 {
-    std::vector<KnownProcess> found;
+    std::vector<ProcessInfo> processes;
     std::set<std::string> seen { address };
-    std::deque<std::string> toAsk { address };
-    while (!toAsk.empty()) {
-        auto next = toAsk.front();
-        toAsk.pop_front();
-        auto answer = callAdmin(next, "GET", "/peers");
-        if (!answer && found.empty() && toAsk.empty())
-            return answer.error();
-        if (!answer || !answer.value().json.is_array())
+    std::deque<std::string> pending { address };
+    while (!pending.empty()) {
+        auto current = pending.front();
+        pending.pop_front();
+        auto response = callAdmin(current, "GET", "/peers");
+        if (!response && processes.empty() && pending.empty())
+            return response.error();
+        if (!response || !response.value().json.is_array())
             continue;
-        bool isSelf = true;
-        for (const auto& peer : answer.value().json) {
-            KnownProcess process { peer.value("name", ""), peer.value("role", ""), peer.value("site", ""), peer.value("zone", ""),
+        bool isFirst = true;
+        for (const auto& peer : response.value().json) {
+            ProcessInfo process { peer.value("name", ""), peer.value("role", ""), peer.value("site", ""), peer.value("zone", ""),
                 peer.value("admin", "") };
             bool isNew = !process.admin.empty() && seen.insert(process.admin).second;
             if (isNew)
-                toAsk.push_back(process.admin);
+                pending.push_back(process.admin);
             // The first entry is the process that answers.
-            if (std::exchange(isSelf, false))
-                found.push_back(process);
+            if (std::exchange(isFirst, false))
+                processes.push_back(process);
         }
     }
-    return found;
+    return processes;
 }
 
 } // namespace wrenhinge::tool
--- a/src/tool/AdminClient.h
+++ b/src/tool/AdminClient.h
@@ -11,17 +11,18 @@
 
 namespace wrenhinge::tool {
 
-struct AdminAnswer {
+struct AdminResponse {
     int status = 0;
     nlohmann::json json;
     std::string text; ///< The body as it came.
 };
 
 /// \returns the answer, or an Error if nobody answered at `address`.
-Result<AdminAnswer> callAdmin(const std::string& address, const std::string& method, const std::string& path, const std::string& body = "");
+Result<AdminResponse> callAdmin(
+    const std::string& address, const std::string& method, const std::string& path, const std::string& body = "");
 
 /// A process that can be asked.
-struct KnownProcess {
+struct ProcessInfo {
     std::string name;
     std::string role;
     std::string site;
@@ -30,6 +31,6 @@
 };
 
 /// All processes that can be found from `address` on, by asking each for its peers.
-Result<std::vector<KnownProcess>> findProcesses(const std::string& address);
+Result<std::vector<ProcessInfo>> discoverProcesses(const std::string& address);
 
 } // namespace wrenhinge::tool
--- a/src/tool/Commands.h
+++ b/src/tool/Commands.h
@@ -25,17 +25,17 @@
     std::string author;
 };
 
-using Words = std::vector<std::string>;
+using Arguments = std::vector<std::string>;
 
 /// Runs the command that the words name.
-int runCommand(const Options&, const Words&);
+int runCommand(const Options&, const Arguments&);
 
 // One file each.
 int runStatus(const Options&);
 int runAccounts(const Options&);
-int runUpstream(const Options&, const Words&);
-int runConfig(const Options&, const Words&);
-int runTimeline(const Options&, const std::string& request);
+int runUpstream(const Options&, const Arguments&);
+int runConfig(const Options&, const Arguments&);
+int runTimeline(const Options&, const std::string& requestId);
 int runMetrics(const Options&);
 
 /// Prints a user error. \returns the exit code that goes with it.
--- a/src/tool/ConfigChange.h
+++ b/src/tool/ConfigChange.h
@@ -15,7 +15,7 @@
     std::uint64_t number = 0;
     Configuration::Entries entries;
 };
-Result<CurrentConfig> readCurrent(const Options&);
+Result<CurrentConfig> fetchCurrentConfig(const Options&);
 
 /// Applies a change under the given or the next number. A lost answer is met by a resend under the same change id.
 /// \returns the exit code.
--- a/src/tool/ConfigCommand.cpp
+++ b/src/tool/ConfigCommand.cpp
@@ -24,12 +24,12 @@
     }
 
     /// What a file would change, or an exit code.
-    std::variant<ConfigDifference, int> differenceTo(const Options& options, const std::string& file)
+    std::variant<ConfigDifference, int> differenceFromCurrent(const Options& options, const std::string& file)
     {
         auto entries = readConfigFile(file);
         if (!entries)
             return fail(entries.error().message, ExitRefused);
-        auto current = readCurrent(options);
+        auto current = fetchCurrentConfig(options);
         if (!current)
             return fail(current.error().message, ExitUnreachable);
         return differenceOf(current.value().entries, entries.value());
@@ -37,9 +37,9 @@
 
     int diff(const Options& options, const std::string& file)
     {
-        auto difference = differenceTo(options, file);
-        if (auto* code = std::get_if<int>(&difference))
-            return *code;
+        auto difference = differenceFromCurrent(options, file);
+        if (auto* exitCode = std::get_if<int>(&difference))
+            return *exitCode;
         const auto& [puts, removes] = std::get<ConfigDifference>(difference);
         for (const auto& [path, value] : puts)
             std::cout << "+ " << path << " = " << value << "\n";
@@ -50,9 +50,9 @@
 
     int apply(const Options& options, const std::string& file)
     {
-        auto difference = differenceTo(options, file);
-        if (auto* code = std::get_if<int>(&difference))
-            return *code;
+        auto difference = differenceFromCurrent(options, file);
+        if (auto* exitCode = std::get_if<int>(&difference))
+            return *exitCode;
         const auto& change = std::get<ConfigDifference>(difference);
         if (change.empty()) {
             std::cout << "nothing to change\n";
@@ -63,7 +63,7 @@
 
     int show(const Options& options)
     {
-        auto current = readCurrent(options);
+        auto current = fetchCurrentConfig(options);
         if (!current)
             return fail(current.error().message, ExitUnreachable);
         if (options.json) {
@@ -79,69 +79,69 @@
     }
 
     /// A page of the controller whose configuration is the newest.
-    Result<Json> controllerPage(const Options& options, const std::string& path)
+    Result<Json> fetchFromController(const Options& options, const std::string& path)
     {
-        auto current = readCurrent(options);
+        auto current = fetchCurrentConfig(options);
         if (!current)
             return current.error();
-        auto answer = callAdmin(current.value().controllerAdmin, "GET", path);
-        if (!answer)
-            return answer.error();
-        return answer.value().json;
+        auto response = callAdmin(current.value().controllerAdmin, "GET", path);
+        if (!response)
+            return response.error();
+        return response.value().json;
     }
 
     int history(const Options& options)
     {
-        auto page = controllerPage(options, "/config/history");
-        if (!page)
-            return fail(page.error().message, ExitUnreachable);
+        auto response = fetchFromController(options, "/config/history");
+        if (!response)
+            return fail(response.error().message, ExitUnreachable);
         Table table({ "VERSION", "NUMBER", "AUTHOR", "CHANGE ID", "ENTRIES" });
-        for (const auto& change : page.value())
-            table.add({ change["version"].dump(), change["number"].dump(), change["author"], change["change_id"],
+        for (const auto& change : response.value())
+            table.addRow({ change["version"].dump(), change["number"].dump(), change["author"], change["change_id"],
                 std::to_string(change["puts"].size() + change["removes"].size()) });
-        std::cout << (options.json ? page.value().dump(2) + "\n" : table.text());
+        std::cout << (options.json ? response.value().dump(2) + "\n" : table.text());
         return ExitOk;
     }
 
     int status(const Options& options)
     {
-        auto page = controllerPage(options, "/config/status");
-        if (!page)
-            return fail(page.error().message, ExitUnreachable);
-        const auto& json = page.value();
+        auto response = fetchFromController(options, "/config/status");
+        if (!response)
+            return fail(response.error().message, ExitUnreachable);
+        const auto& json = response.value();
         Table table({ "PROCESS", "ROLE", "SITE", "ZONE", "IN FORCE", "FOR (MS)" });
-        bool isEverywhere = true;
+        bool isInForceEverywhere = true;
         for (const auto& watcher : json["watchers"]) {
-            isEverywhere = isEverywhere && watcher["version"] == json["version"];
-            table.add({ watcher["name"], watcher["role"], watcher["site"], watcher["zone"], watcher["version"].dump(),
+            isInForceEverywhere = isInForceEverywhere && watcher["version"] == json["version"];
+            table.addRow({ watcher["name"], watcher["role"], watcher["site"], watcher["zone"], watcher["version"].dump(),
                 watcher["since_ms"].dump() });
         }
         if (options.json)
             std::cout << json.dump(2) << "\n";
         else
             std::cout << table.text() << "version " << json["version"]
-                      << (isEverywhere ? " is in force at all of them\n" : " is not in force everywhere yet\n");
+                      << (isInForceEverywhere ? " is in force at all of them\n" : " is not in force everywhere yet\n");
         return ExitOk;
     }
 
 } // namespace
 
-int runConfig(const Options& options, const Words& words)
+int runConfig(const Options& options, const Arguments& arguments)
 {
-    auto verb = words.size() > 1 ? words[1] : std::string();
-    if (words.size() == 3 && verb == "check")
-        return check(words[2]);
+    auto subcommand = arguments.size() > 1 ? arguments[1] : std::string();
+    if (arguments.size() == 3 && subcommand == "check")
+        return check(arguments[2]);
     if (options.admin.empty())
         return fail("give --admin IP:PORT or set WRENHINGE_ADMIN", ExitUsage);
-    if (words.size() == 3 && verb == "diff")
-        return diff(options, words[2]);
-    if (words.size() == 3 && verb == "apply")
-        return apply(options, words[2]);
-    if (words.size() == 2 && verb == "show")
+    if (arguments.size() == 3 && subcommand == "diff")
+        return diff(options, arguments[2]);
+    if (arguments.size() == 3 && subcommand == "apply")
+        return apply(options, arguments[2]);
+    if (arguments.size() == 2 && subcommand == "show")
         return show(options);
-    if (words.size() == 2 && verb == "history")
+    if (arguments.size() == 2 && subcommand == "history")
         return history(options);
-    if (words.size() == 2 && verb == "status")
+    if (arguments.size() == 2 && subcommand == "status")
         return status(options);
     return fail("use config check FILE, diff FILE, apply FILE, show, history or status", ExitUsage);
 }
--- a/src/tool/Main.cpp
+++ b/src/tool/Main.cpp
@@ -29,14 +29,14 @@
                                     "Exit codes: 0 done, 1 refused, 2 wrong use, 3 nobody answers";
 
 /// Takes a text over from popt, which allocates it, or the fallback.
-std::string taken(char* text, const std::string& fallback)
+std::string takeString(char* text, const std::string& fallback)
 {
     std::string value = text ? text : fallback;
     std::free(text);
     return value;
 }
 
-std::string fromEnvironment(const char* name)
+std::string environmentVariable(const char* name)
 {
     const char* value = std::getenv(name);
     return value ? value : "";
@@ -67,19 +67,19 @@
         return ExitOk;
     }
     Options options;
-    options.admin = taken(admin, fromEnvironment("WRENHINGE_ADMIN"));
+    options.admin = takeString(admin, environmentVariable("WRENHINGE_ADMIN"));
     options.json = json != 0;
-    options.changeId = taken(changeId, "");
-    options.author = taken(author, fromEnvironment("USER"));
-    auto numberText = taken(number, "");
+    options.changeId = takeString(changeId, "");
+    options.author = takeString(author, environmentVariable("USER"));
+    auto numberText = takeString(number, "");
     if (!numberText.empty()) {
         char* end = nullptr;
         options.number = std::strtoull(numberText.c_str(), &end, 10);
         if (*end)
             return fail("--number takes a whole number", ExitUsage);
     }
-    Words words;
-    while (const char* word = poptGetArg(context.get()))
-        words.emplace_back(word);
-    return runCommand(options, words);
+    Arguments arguments;
+    while (const char* argument = poptGetArg(context.get()))
+        arguments.emplace_back(argument);
+    return runCommand(options, arguments);
 }
--- a/src/tool/Table.h
+++ b/src/tool/Table.h
@@ -10,11 +10,11 @@
 
 class Table {
 public:
-    explicit Table(std::vector<std::string> heads)
-        : m_rows { std::move(heads) }
+    explicit Table(std::vector<std::string> headers)
+        : m_rows { std::move(headers) }
     {
     }
-    void add(std::vector<std::string> cells) { m_rows.push_back(std::move(cells)); }
+    void addRow(std::vector<std::string> cells) { m_rows.push_back(std::move(cells)); }
     [[nodiscard]] std::string text() const;
 
 private:
--- a/src/tool/UpstreamCommand.cpp
+++ b/src/tool/UpstreamCommand.cpp
@@ -16,19 +16,19 @@
     using Json = nlohmann::json;
 
     /// All upstreams that any gateway knows, by identity.
-    Result<std::map<std::string, Json>> collect(const Options& options)
+    Result<std::map<std::string, Json>> collectUpstreams(const Options& options)
     {
-        auto processes = findProcesses(options.admin);
+        auto processes = discoverProcesses(options.admin);
         if (!processes)
             return processes.error();
         std::map<std::string, Json> upstreams;
         for (const auto& process : processes.value()) {
             if (process.role != "gateway")
                 continue;
-            auto answer = callAdmin(process.admin, "GET", "/upstreams");
-            if (!answer || !answer.value().json.is_array())
+            auto response = callAdmin(process.admin, "GET", "/upstreams");
+            if (!response || !response.value().json.is_array())
                 continue;
-            for (const auto& upstream : answer.value().json) {
+            for (const auto& upstream : response.value().json) {
                 auto& known = upstreams[upstream.value("id", "")];
                 if (known.is_null())
                     known = upstream;
@@ -40,36 +40,36 @@
 
     int list(const Options& options)
     {
-        auto upstreams = collect(options);
+        auto upstreams = collectUpstreams(options);
         if (!upstreams)
             return fail(upstreams.error().message, ExitUnreachable);
-        auto all = Json::array();
+        auto rows = Json::array();
         Table table({ "SERVICE", "REPLICA", "KIND", "ZONE", "STATE", "SLOTS", "OCCUPIED", "QUEUED", "GATEWAYS" });
         for (const auto& [id, upstream] : upstreams.value()) {
-            all.push_back(upstream);
+            rows.push_back(upstream);
             const auto& load = upstream["load"];
-            table.add({ upstream["service"], upstream["replica"], upstream["kind"], upstream["zone"], upstream["state"],
+            table.addRow({ upstream["service"], upstream["replica"], upstream["kind"], upstream["zone"], upstream["state"],
                 load["slots"].dump(), load["occupied"].dump(), load["queued"].dump(), std::to_string(upstream["gateways"].size()) });
         }
-        std::cout << (options.json ? all.dump(2) + "\n" : table.text());
+        std::cout << (options.json ? rows.dump(2) + "\n" : table.text());
         return ExitOk;
     }
 
-    int setState(const Options& options, const std::string& service, const std::string& replica, const std::string& state)
+    int setReplicaState(const Options& options, const std::string& service, const std::string& replica, const std::string& state)
     {
         return applyChange(options, { { "replica/" + service + "/" + replica + "/state", state } }, {});
     }
 
 } // namespace
 
-int runUpstream(const Options& options, const Words& words)
+int runUpstream(const Options& options, const Arguments& arguments)
 {
-    if (words.size() == 2 && words[1] == "list")
+    if (arguments.size() == 2 && arguments[1] == "list")
         return list(options);
-    if (words.size() == 4 && words[1] == "drain")
-        return setState(options, words[2], words[3], "drain");
-    if (words.size() == 4 && words[1] == "resume")
-        return setState(options, words[2], words[3], "in-use");
+    if (arguments.size() == 4 && arguments[1] == "drain")
+        return setReplicaState(options, arguments[2], arguments[3], "drain");
+    if (arguments.size() == 4 && arguments[1] == "resume")
+        return setReplicaState(options, arguments[2], arguments[3], "in-use");
     return fail("use upstream list, upstream drain SERVICE REPLICA or upstream resume SERVICE REPLICA", ExitUsage);
 }
 
