--- a/src/tool/AccountsCommand.cpp
+++ b/src/tool/AccountsCommand.cpp
@@ -1,5 +1,5 @@
 /** \file
- * `accounts`: what client accounts use of their limits, added up over all gateways.
+ * `accounts`: the limits and the usage of client accounts, summed over all gateways.
  */
 #include "tool/AdminClient.h"
 #include "tool/Commands.h"
@@ -15,17 +15,19 @@
 
     using Json = nlohmann::json;
 
+    /// The usage of one client account, summed over the gateways that responded.
     struct AccountTotals {
         std::string unit;
-        double limit = 0;
-        double used = 0;
-        double remaining = 0; ///< At the gateway that has least.
+        double limit = 0; ///< Per second; 0 if the rate is not limited.
+        double used = 0; ///< Per second.
+        double remaining = 0; ///< The lowest value of any gateway.
         std::uint64_t admitted = 0;
         std::uint64_t refused = 0;
         std::size_t gateways = 0;
-        std::size_t isolatedGateways = 0; ///< Gateways that hear of no others.
+        std::size_t isolatedGateways = 0; ///< Gateways to which no controller provides the usage of the others.
     };
 
+    /// Adds the figures that one gateway reports for an account.
     void accumulate(AccountTotals& totals, const Json& account)
     {
         totals.unit = account.value("unit", "");
@@ -39,6 +41,7 @@
         ++totals.gateways;
     }
 
+    /// \returns the totals of every client account, by name.
     Result<std::map<std::string, AccountTotals>> collectAccounts(const Options& options)
     {
         auto processes = discoverProcesses(options.admin);
--- a/src/tool/AdminClient.cpp
+++ b/src/tool/AdminClient.cpp
@@ -64,7 +64,7 @@
             bool isNew = !process.admin.empty() && seen.insert(process.admin).second;
             if (isNew)
                 pending.push_back(process.admin);
-            // The first entry is the process that answers.
+            // The first entry describes the responding process itself.
             if (std::exchange(isFirst, false))
                 processes.push_back(process);
         }
--- a/src/tool/AdminClient.h
+++ b/src/tool/AdminClient.h
@@ -1,5 +1,5 @@
 /** \file
- * The tool's side of the admin pages: one JSON call to one process, by the HTTP client of cxxtools.
+ * The client of the processes' admin HTTP servers: sends one request to one process, with the HTTP client of cxxtools.
  */
 #pragma once
 
@@ -12,25 +12,27 @@
 namespace wrenhinge::tool {
 
 struct AdminResponse {
-    int status = 0;
-    nlohmann::json json;
-    std::string text; ///< The body as it came.
+    int status = 0; ///< The HTTP status.
+    nlohmann::json json; ///< The parsed body; `is_discarded()` if the body is not JSON.
+    std::string text; ///< The unparsed body.
 };
 
-/// \returns the answer, or an Error if nobody answered at `address`.
+/// Sends one HTTP request to the admin server at `address` (IP:PORT).
+/// \returns the response, whatever its HTTP status, or ConnectFailed if the address is malformed or the request fails or times out.
 Result<AdminResponse> callAdmin(
     const std::string& address, const std::string& method, const std::string& path, const std::string& body = "");
 
-/// A process that can be asked.
+/// A process as its own admin server describes it.
 struct ProcessInfo {
     std::string name;
     std::string role;
     std::string site;
     std::string zone;
-    std::string admin;
+    std::string admin; ///< The address of its admin server.
 };
 
-/// All processes that can be found from `address` on, by asking each for its peers.
+/// Discovers all processes reachable from the one at `address`: requests the peers of each discovered process in turn.
+/// A process that doesn't respond is left out. \returns an Error if the process at `address` is unreachable.
 Result<std::vector<ProcessInfo>> discoverProcesses(const std::string& address);
 
 } // namespace wrenhinge::tool
--- a/src/tool/Commands.cpp
+++ b/src/tool/Commands.cpp
@@ -13,6 +13,7 @@
 
     using Json = nlohmann::json;
 
+    /// \returns a field as text, or "-" if it is absent.
     std::string fieldText(const Json& json, const std::string& key)
     {
         if (!json.contains(key))
@@ -20,13 +21,13 @@
         return json[key].is_string() ? json[key].get<std::string>() : json[key].dump();
     }
 
-    /// How many members the log has as this controller knows them.
+    /// \returns the number of members of the replicated log as a controller reports them, or "-" for other roles.
     std::string memberCount(const Json& json)
     {
         return json.contains("members") && json["members"].is_array() ? std::to_string(json["members"].size()) : "-";
     }
 
-    /// What a gateway may still send once more, at the service that has least left.
+    /// \returns the lowest remaining retry budget of any service at a gateway, or "-" if it reports none.
     std::string lowestRetryBudget(const Json& json)
     {
         if (!json.contains("retry_budget_left") || !json["retry_budget_left"].is_object() || json["retry_budget_left"].empty())
--- a/src/tool/Commands.h
+++ b/src/tool/Commands.h
@@ -1,5 +1,5 @@
 /** \file
- * The commands of the tool. Each prints to standard output and returns an exit code.
+ * The commands of the command-line tool. Each prints to standard output and returns an exit code.
  */
 #pragma once
 
@@ -12,25 +12,25 @@
 
 enum ExitCode : int {
     ExitOk = 0,
-    ExitRefused = 1, ///< The system said no; the message says why.
+    ExitRefused = 1, ///< A process or a check rejected the command; the message gives the reason.
     ExitUsage = 2,
     ExitUnreachable = 3,
 };
 
 struct Options {
-    std::string admin; ///< Where to start: the admin address of any process.
-    bool json = false;
-    std::optional<std::uint64_t> number; ///< config apply: the operator's number.
-    std::string changeId; ///< config apply: the change's id, for a resend.
-    std::string author;
+    std::string admin; ///< The admin address of any process; the others are discovered from it.
+    bool json = false; ///< Print JSON instead of tables.
+    std::optional<std::uint64_t> number; ///< Number of a configuration change. Default: the current number plus one.
+    std::string changeId; ///< Id of a configuration change, given to resend it. Default: a random id.
+    std::string author; ///< Who makes a configuration change.
 };
 
 using Arguments = std::vector<std::string>;
 
-/// Runs the command that the words name.
+/// Runs the command that the first argument names. \returns the exit code.
 int runCommand(const Options&, const Arguments&);
 
-// One file each.
+// The commands. Each is defined in a file of its own, except status and metrics (Commands.cpp).
 int runStatus(const Options&);
 int runAccounts(const Options&);
 int runUpstream(const Options&, const Arguments&);
@@ -38,7 +38,7 @@
 int runTimeline(const Options&, const std::string& requestId);
 int runMetrics(const Options&);
 
-/// Prints a user error. \returns the exit code that goes with it.
+/// Prints an error message to standard error. \returns `exitCode`.
 int fail(const std::string& message, int exitCode);
 
 } // namespace wrenhinge::tool
--- a/src/tool/ConfigChange.cpp
+++ b/src/tool/ConfigChange.cpp
@@ -23,7 +23,9 @@
         return buf;
     }
 
-    /// Sends the change once. \returns an exit code if it is decided; else `target` says whom to ask next.
+    /// Sends the change once to the controller at `target`.
+    /// \returns an exit code if it was accepted or rejected; otherwise sets `target` to the controller to try next: the leader if it is
+    /// known, else `fallback`.
     std::optional<int> sendChange(const Options& options, const Json& change, std::string& target, const std::string& fallback)
     {
         auto response = callAdmin(target, "POST", "/config", change.dump());
--- a/src/tool/ConfigChange.h
+++ b/src/tool/ConfigChange.h
@@ -1,5 +1,5 @@
 /** \file
- * Sends a change of configuration to the controllers until one of them decides it.
+ * Sends a configuration change to the controllers until it is accepted or rejected, for a limited number of attempts.
  */
 #pragma once
 
@@ -8,16 +8,20 @@
 
 namespace wrenhinge::tool {
 
-/// The configuration as a controller holds it, found from `options.admin`.
+/// A controller's copy of the configuration.
 struct CurrentConfig {
-    std::string controllerAdmin;
+    std::string controllerAdmin; ///< The admin address of that controller.
     std::uint64_t version = 0;
-    std::uint64_t number = 0;
+    std::uint64_t number = 0; ///< The number of the last accepted change.
     Configuration::Entries entries;
 };
+
+/// Reads the configuration of every controller discovered from `options.admin`.
+/// \returns the one with the highest version, or an Error if no controller is reachable.
 Result<CurrentConfig> fetchCurrentConfig(const Options&);
 
-/// Applies a change under the given or the next number. A lost answer is met by a resend under the same change id.
+/// Applies a change under `options.number` or the next number. If no response arrives, or one that leaves the outcome open
+/// (CONFIG_UNAVAILABLE), the change is resent under the same change id, so that it is applied at most once.
 /// \returns the exit code.
 int applyChange(const Options&, const Configuration::Entries& puts, const std::vector<std::string>& removes);
 
--- a/src/tool/ConfigCommand.cpp
+++ b/src/tool/ConfigCommand.cpp
@@ -14,6 +14,7 @@
 
     using Json = nlohmann::json;
 
+    /// Validates a file without any process.
     int check(const std::string& file)
     {
         auto entries = readConfigFile(file);
@@ -23,7 +24,7 @@
         return ExitOk;
     }
 
-    /// What a file would change, or an exit code.
+    /// \returns the changes that turn the current configuration into that of the file, or the exit code of an error already printed.
     std::variant<ConfigDifference, int> differenceFromCurrent(const Options& options, const std::string& file)
     {
         auto entries = readConfigFile(file);
@@ -78,7 +79,7 @@
         return ExitOk;
     }
 
-    /// A page of the controller whose configuration is the newest.
+    /// \returns the JSON at `path` of the controller with the newest configuration.
     Result<Json> fetchFromController(const Options& options, const std::string& path)
     {
         auto current = fetchCurrentConfig(options);
--- a/src/tool/Main.cpp
+++ b/src/tool/Main.cpp
@@ -1,5 +1,5 @@
 /** \file
- * wrenhinge: the operators' tool.
+ * wrenhinge: the command-line tool for operators.
  */
 #include "tool/Commands.h"
 
@@ -28,7 +28,7 @@
                                     "  metrics                           the metrics of one process\n\n"
                                     "Exit codes: 0 done, 1 refused, 2 wrong use, 3 nobody answers";
 
-/// Takes a text over from popt, which allocates it, or the fallback.
+/// Copies a string that popt allocated and frees it. \returns `fallback` if it is null.
 std::string takeString(char* text, const std::string& fallback)
 {
     std::string value = text ? text : fallback;
@@ -37,6 +37,7 @@
 }
 
 std::string environmentVariable(const char* name)
+/// \returns the value of an environment variable, or an empty string if it is not set.
 {
     const char* value = std::getenv(name);
     return value ? value : "";
--- a/src/tool/Table.h
+++ b/src/tool/Table.h
@@ -1,5 +1,5 @@
 /** \file
- * Aligned columns for people.
+ * Formats rows as a plain-text table with aligned columns.
  */
 #pragma once
 
@@ -8,6 +8,7 @@
 
 namespace wrenhinge::tool {
 
+/// A table whose first row holds the column headers.
 class Table {
 public:
     explicit Table(std::vector<std::string> headers)
@@ -15,6 +16,7 @@
     {
     }
     void addRow(std::vector<std::string> cells) { m_rows.push_back(std::move(cells)); }
+    /// \returns the table, one line a row, each column as wide as its widest cell.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/src/tool/TimelineCommand.cpp
+++ b/src/tool/TimelineCommand.cpp
@@ -1,5 +1,5 @@
 /** \file
- * `timeline` and `request explain`: the events of all processes, merged by their hybrid logical stamps.
+ * `timeline` and `request explain`: the events of all processes, merged in the order of their hybrid logical timestamps.
  */
 #include "tool/AdminClient.h"
 #include "tool/Commands.h"
@@ -15,6 +15,7 @@
 
     using Json = nlohmann::json;
 
+    /// Formats microseconds since the Unix epoch as the time of day in UTC.
     std::string formatTimeOfDay(std::uint64_t wallMicros)
     {
         auto seconds = static_cast<std::time_t>(wallMicros / 1000000);
--- a/src/tool/UpstreamCommand.cpp
+++ b/src/tool/UpstreamCommand.cpp
@@ -1,5 +1,5 @@
 /** \file
- * `upstream list`, `drain` and `resume`. Draining is a change of configuration, so it holds after every restart.
+ * `upstream list`, `drain` and `resume`. Draining is a configuration change, so it persists across restarts.
  */
 #include "tool/AdminClient.h"
 #include "tool/Commands.h"
@@ -15,7 +15,8 @@
 
     using Json = nlohmann::json;
 
-    /// All upstreams that any gateway knows, by identity.
+    /// \returns the upstreams that any gateway reports, by id. Each has the data of the first gateway that reports it, and lists all of
+    /// them.
     Result<std::map<std::string, Json>> collectUpstreams(const Options& options)
     {
         auto processes = discoverProcesses(options.admin);
