--- a/src/tool/AdminClient.cpp
+++ b/src/tool/AdminClient.cpp
@@ -14,7 +14,7 @@
 
     Error unreachableError(const std::string& address, const std::string& why)
     {
-        return { ResultCode::ConnectFailed, "no answer from " + address + ": " + why + "; check --admin" };
+        return { ResultCode::ConnectFailed, "no response from " + address + ": " + why + "; check --admin" };
     }
 
 } // namespace
@@ -24,7 +24,7 @@
     auto colon = address.rfind(':');
     auto port = colon == std::string::npos ? std::string() : address.substr(colon + 1);
     if (port.empty() || port.size() > 5 || port.find_first_not_of("0123456789") != std::string::npos)
-        return unreachableError(address, "it is not IP:PORT");
+        return unreachableError(address, "the address is not of the form IP:PORT");
     try {
         cxxtools::http::Client client(address.substr(0, colon), static_cast<unsigned short>(std::stoul(port)));
         auto query = path.find('?');
--- a/src/tool/Commands.cpp
+++ b/src/tool/Commands.cpp
@@ -51,12 +51,12 @@
 int runCommand(const Options& options, const Arguments& arguments)
 {
     if (arguments.empty())
-        return usageError("name a command");
+        return usageError("no command given");
     const auto& command = arguments[0];
     if (command == "config")
         return runConfig(options, arguments);
     if (options.admin.empty())
-        return usageError("give --admin IP:PORT or set WRENHINGE_ADMIN");
+        return usageError("no admin address; give --admin IP:PORT or set WRENHINGE_ADMIN");
     if (command == "status" && arguments.size() == 1)
         return runStatus(options);
     if (command == "accounts" && arguments.size() == 1)
@@ -69,7 +69,7 @@
         return runTimeline(options, arguments[2]);
     if (command == "metrics" && arguments.size() == 1)
         return runMetrics(options);
-    return usageError("unknown command '" + command + "' or wrong number of words");
+    return usageError("unknown command '" + command + "' or wrong number of arguments");
 }
 
 int runStatus(const Options& options)
--- a/src/tool/Commands.h
+++ b/src/tool/Commands.h
@@ -12,14 +12,14 @@
 
 enum ExitCode : int {
     ExitOk = 0,
-    ExitRefused = 1, ///< A process or a check rejected the command; the message gives the reason.
+    ExitRefused = 1, ///< A process or a check refused the command; the message gives the reason.
     ExitUsage = 2,
     ExitUnreachable = 3,
 };
 
 struct Options {
     std::string admin; ///< The admin address of any process; the others are discovered from it.
-    bool json = false; ///< Print JSON instead of tables.
+    bool json = false; ///< Print JSON instead of text, in the commands that support it.
     std::optional<std::uint64_t> number; ///< Number of a configuration change. Default: the current number plus one.
     std::string changeId; ///< Id of a configuration change, given to resend it. Default: a random id.
     std::string author; ///< Who makes a configuration change.
--- a/src/tool/ConfigChange.cpp
+++ b/src/tool/ConfigChange.cpp
@@ -24,7 +24,7 @@
     }
 
     /// Sends the change once to the controller at `target`.
-    /// \returns an exit code if it was accepted or rejected; otherwise sets `target` to the controller to try next: the leader if it is
+    /// \returns an exit code if it was accepted or refused; otherwise sets `target` to the controller to try next: the leader if it is
     /// known, else `fallback`.
     std::optional<int> sendChange(const Options& options, const Json& change, std::string& target, const std::string& fallback)
     {
@@ -72,7 +72,7 @@
             newest = std::move(current);
     }
     if (!newest)
-        return Error { ResultCode::ConfigUnavailable, "no controller can be reached from " + options.admin };
+        return Error { ResultCode::ConfigUnavailable, "no controller is reachable from " + options.admin };
     return std::move(*newest);
 }
 
@@ -90,7 +90,7 @@
             return *exitCode;
         std::this_thread::sleep_for(retryInterval);
     }
-    return fail("no majority of controllers answers; the change may still be accepted. Resend it with --change-id "
+    return fail("no majority of controllers responded; the change may still be accepted. Resend it with --change-id "
             + change["change_id"].get<std::string>() + " --number " + change["number"].dump(),
         ExitUnreachable);
 }
--- a/src/tool/ConfigChange.h
+++ b/src/tool/ConfigChange.h
@@ -1,5 +1,5 @@
 /** \file
- * Sends a configuration change to the controllers until it is accepted or rejected, for a limited number of attempts.
+ * Sends a configuration change to the controllers until it is accepted or refused, for a limited number of attempts.
  */
 #pragma once
 
--- a/src/tool/ConfigCommand.cpp
+++ b/src/tool/ConfigCommand.cpp
@@ -121,7 +121,8 @@
             std::cout << json.dump(2) << "\n";
         else
             std::cout << table.text() << "version " << json["version"]
-                      << (isInForceEverywhere ? " is in force at all of them\n" : " is not in force everywhere yet\n");
+                      << (isInForceEverywhere ? " is in force at all listed processes\n"
+                                              : " is not in force at all listed processes yet\n");
         return ExitOk;
     }
 
@@ -133,7 +134,7 @@
     if (arguments.size() == 3 && subcommand == "check")
         return check(arguments[2]);
     if (options.admin.empty())
-        return fail("give --admin IP:PORT or set WRENHINGE_ADMIN", ExitUsage);
+        return fail("no admin address; give --admin IP:PORT or set WRENHINGE_ADMIN", ExitUsage);
     if (arguments.size() == 3 && subcommand == "diff")
         return diff(options, arguments[2]);
     if (arguments.size() == 3 && subcommand == "apply")
@@ -144,7 +145,7 @@
         return history(options);
     if (arguments.size() == 2 && subcommand == "status")
         return status(options);
-    return fail("use config check FILE, diff FILE, apply FILE, show, history or status", ExitUsage);
+    return fail("usage: wrenhinge config check FILE | diff FILE | apply FILE | show | history | status", ExitUsage);
 }
 
 } // namespace wrenhinge::tool
--- a/src/tool/TimelineCommand.cpp
+++ b/src/tool/TimelineCommand.cpp
@@ -48,7 +48,8 @@
             events.insert(events.end(), response.value().json.begin(), response.value().json.end());
     }
     if (events.empty() && !requestId.empty())
-        return fail("no process knows request " + requestId + "; ids are in the X-Request-Id header of answers", ExitRefused);
+        return fail(
+            "no process has events of request " + requestId + "; the X-Request-Id header of a response contains its id", ExitRefused);
     std::stable_sort(events.begin(), events.end(), isEarlier);
     if (options.json) {
         std::cout << Json(events).dump(2) << "\n";
--- a/src/tool/UpstreamCommand.cpp
+++ b/src/tool/UpstreamCommand.cpp
@@ -71,7 +71,7 @@
         return setReplicaState(options, arguments[2], arguments[3], "drain");
     if (arguments.size() == 4 && arguments[1] == "resume")
         return setReplicaState(options, arguments[2], arguments[3], "in-use");
-    return fail("use upstream list, upstream drain SERVICE REPLICA or upstream resume SERVICE REPLICA", ExitUsage);
+    return fail("usage: wrenhinge upstream list | drain SERVICE REPLICA | resume SERVICE REPLICA", ExitUsage);
 }
 
 } // namespace wrenhinge::tool
