--- a/src/tool/Commands.cpp
+++ b/src/tool/Commands.cpp
@@ -13,6 +13,7 @@
 
     using Json = nlohmann::json;
 
+    /// \returns a field as text, or "-" if it is absent.
     std::string fieldText(const Json& json, const std::string& key)
     {
         if (!json.contains(key))
@@ -20,13 +21,13 @@
         return json[key].is_string() ? json[key].get<std::string>() : json[key].dump();
     }
 
-    /// How many members the log has as this controller knows them.
+    /// \returns the number of members of the replicated log as a controller reports them, or "-" for other roles.
     std::string memberCount(const Json& json)
     {
         return json.contains("members") && json["members"].is_array() ? std::to_string(json["members"].size()) : "-";
     }
 
-    /// What a gateway may still send once more, at the service that has least left.
+    /// \returns the lowest remaining retry budget of any service at a gateway, or "-" if it reports none.
     std::string lowestRetryBudget(const Json& json)
     {
         if (!json.contains("retry_budget_left") || !json["retry_budget_left"].is_object() || json["retry_budget_left"].empty())
@@ -50,12 +51,12 @@
 int runCommand(const Options& options, const Arguments& arguments)
 {
     if (arguments.empty())
-        return usageError("name a command");
+        return usageError("no command given");
     const auto& command = arguments[0];
     if (command == "config")
         return runConfig(options, arguments);
     if (options.admin.empty())
-        return usageError("give --admin IP:PORT or set WRENHINGE_ADMIN");
+        return usageError("no admin address; give --admin IP:PORT or set WRENHINGE_ADMIN");
     if (command == "status" && arguments.size() == 1)
         return runStatus(options);
     if (command == "accounts" && arguments.size() == 1)
@@ -68,7 +69,7 @@
         return runTimeline(options, arguments[2]);
     if (command == "metrics" && arguments.size() == 1)
         return runMetrics(options);
-    return usageError("unknown command '" + command + "' or wrong number of words");
+    return usageError("unknown command '" + command + "' or wrong number of arguments");
 }
 
 int runStatus(const Options& options)
--- a/src/tool/TimelineCommand.cpp
+++ b/src/tool/TimelineCommand.cpp
@@ -1,5 +1,5 @@
 /** \file
- * `timeline` and `request explain`: the events of all processes, merged by their hybrid logical stamps.
+ * `timeline` and `request explain`: the events of all processes, merged in the order of their hybrid logical timestamps.
  */
 #include "tool/AdminClient.h"
 #include "tool/Commands.h"
@@ -15,6 +15,7 @@
 
     using Json = nlohmann::json;
 
+    /// Formats microseconds since the Unix epoch as the time of day in UTC.
     std::string formatTimeOfDay(std::uint64_t wallMicros)
     {
         auto seconds = static_cast<std::time_t>(wallMicros / 1000000);
@@ -47,7 +48,8 @@
             events.insert(events.end(), response.value().json.begin(), response.value().json.end());
     }
     if (events.empty() && !requestId.empty())
-        return fail("no process knows request " + requestId + "; ids are in the X-Request-Id header of answers", ExitRefused);
+        return fail(
+            "no process has events of request " + requestId + "; the X-Request-Id header of a response contains its id", ExitRefused);
     std::stable_sort(events.begin(), events.end(), isEarlier);
     if (options.json) {
         std::cout << Json(events).dump(2) << "\n";
--- a/src/tool/UpstreamCommand.cpp
+++ b/src/tool/UpstreamCommand.cpp
@@ -1,5 +1,5 @@
 /** \file
- * `upstream list`, `drain` and `resume`. Draining is a change of configuration, so it holds after every restart.
+ * `upstream list`, `drain` and `resume`. Draining is a configuration change, so it persists across restarts.
  */
 #include "tool/AdminClient.h"
 #include "tool/Commands.h"
@@ -15,7 +15,8 @@
 
     using Json = nlohmann::json;
 
-    /// All upstreams that any gateway knows, by identity.
+    /// \returns the upstreams that any gateway reports, by id. Each has the data of the first gateway that reports it, and lists all of
+    /// them.
     Result<std::map<std::string, Json>> collectUpstreams(const Options& options)
     {
         auto processes = discoverProcesses(options.admin);
@@ -70,7 +71,7 @@
         return setReplicaState(options, arguments[2], arguments[3], "drain");
     if (arguments.size() == 4 && arguments[1] == "resume")
         return setReplicaState(options, arguments[2], arguments[3], "in-use");
-    return fail("use upstream list, upstream drain SERVICE REPLICA or upstream resume SERVICE REPLICA", ExitUsage);
+    return fail("usage: wrenhinge upstream list | drain SERVICE REPLICA | resume SERVICE REPLICA", ExitUsage);
 }
 
 } // namespace wrenhinge::tool
