--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -202,7 +202,7 @@
         } else if (const auto* withdrawn = std::get_if<ReplicaWithdrawn>(&message)) {
             post(*withdrawn);
         } else if (const auto* headroom = std::get_if<EngineHeadroom>(&message)) {
-            post(forward::EngineCapacityReported { headroom->address, { peer, headroom->tokens, headroom->prefillBacklog } });
+            post(forward::EngineHeadroomReported { headroom->address, { peer, headroom->tokens, headroom->prefillBacklog } });
         } else if (const auto* reply = std::get_if<ReservationReply>(&message)) {
             post(forward::SidecarReservationReply { reply->request, reply->attempt, reply->isGranted, reply->headroom });
         } else if (auto* heartbeat = std::get_if<RegistryHeartbeat>(&message)) {
--- a/src/request/forward/ForwardEngines.cpp
+++ b/src/request/forward/ForwardEngines.cpp
@@ -39,7 +39,7 @@
 
 void ForwardLogic::on(const PeerDisconnected& event, Instant)
 {
-    m_replicas.rooms().forget(event.peer);
+    m_replicas.engineHeadroom().forget(event.peer);
     m_registryFollower.disconnected(event.peer);
     m_quotas.disconnected(event.peer);
 }
--- a/src/request/forward/ForwardEvents.h
+++ b/src/request/forward/ForwardEvents.h
@@ -84,12 +84,12 @@
     RequestId id;
     Attempt attempt;
     bool isGranted = false;
-    std::uint64_t freeTokens = 0; ///< Free KV memory of the engine in tokens, after this reservation.
+    std::uint64_t headroom = 0; ///< Free KV memory of the engine in tokens, after this reservation.
 };
-/// A sidecar reported how much KV memory of its engine is free.
-struct EngineCapacityReported {
+/// A sidecar reported the headroom of its engine: how much of the KV memory is free.
+struct EngineHeadroomReported {
     std::string address; ///< Of the engine.
-    EngineHeadroomTable::Headroom capacity;
+    EngineHeadroomTable::Headroom headroom;
 };
 /// The connection to a peer was closed.
 struct PeerDisconnected {
@@ -151,7 +151,7 @@
 using wrenhinge::ReplicaWithdrawn;
 using wrenhinge::StageChange;
 using Event = std::variant<Submit, CallerDisconnected, AnswerHead, AnswerBody, AnswerEnd, CallFailed, ReservationGranted,
-    ReservationRefused, SidecarReservationReply, EngineCapacityReported, PeerDisconnected, RegistryHeartbeatReceived, RegistryListReceived,
+    ReservationRefused, SidecarReservationReply, EngineHeadroomReported, PeerDisconnected, RegistryHeartbeatReceived, RegistryListReceived,
     PrefillFinished, PrefillFailed, DocumentReceived, DocumentConfirmed, RelayedAnnouncement, ReplicaWithdrawn, RegistryHeartbeat,
     StageChange, ControllerConnected, CrashesReported, QuotaTotalsReceived, Stop, Tick>;
 
--- a/src/request/forward/ForwardLogic.h
+++ b/src/request/forward/ForwardLogic.h
@@ -97,7 +97,7 @@
     void on(const forward::ReservationGranted&, Instant);
     void on(const forward::ReservationRefused&, Instant);
     void on(const forward::SidecarReservationReply&, Instant);
-    void on(const forward::EngineCapacityReported&, Instant);
+    void on(const forward::EngineHeadroomReported&, Instant);
     void on(const forward::PeerDisconnected&, Instant);
     void on(const forward::RegistryHeartbeatReceived&, Instant);
     void on(const forward::RegistryListReceived&, Instant);
--- a/src/request/forward/ForwardReservations.cpp
+++ b/src/request/forward/ForwardReservations.cpp
@@ -71,10 +71,10 @@
     flow.stage = Flow::Stage::Reserving;
     startCall(flow, choice, now);
     const auto& engine = engineRule(flow)->engine;
-    if (const auto* capacity = m_replicas.rooms().find(choice.address)) {
-        flow.reservationSidecar = capacity->sidecar;
-        m_replicas.rooms().take(choice.address, flow.request.promptTokens);
-        m_effects.push_back(ReserveAtSidecar { capacity->sidecar, flow.id, flow.attempt, flow.request.promptTokens, expectedTokensOf(flow),
+    if (const auto* headroom = m_replicas.engineHeadroom().find(choice.address)) {
+        flow.reservationSidecar = headroom->sidecar;
+        m_replicas.engineHeadroom().take(choice.address, flow.request.promptTokens);
+        m_effects.push_back(ReserveAtSidecar { headroom->sidecar, flow.id, flow.attempt, flow.request.promptTokens, expectedTokensOf(flow),
             flow.request.outputTokens, engine.slots });
     } else {
         auto validFor = std::min(engine.reservationTimeout, maxReservationLifetime);
@@ -88,16 +88,16 @@
     auto* flow = current(event.id, event.attempt);
     if (!flow || flow->stage != Flow::Stage::Reserving)
         return;
-    m_replicas.rooms().setTokens(flow->replicaAddress, event.freeTokens);
+    m_replicas.engineHeadroom().setTokens(flow->replicaAddress, event.headroom);
     if (event.isGranted)
         return on(ReservationGranted { event.id, event.attempt, "" }, now);
     flow->reservationSidecar.reset();
     on(ReservationRefused { event.id, event.attempt, true }, now);
 }
 
-void ForwardLogic::on(const EngineCapacityReported& event, Instant)
+void ForwardLogic::on(const EngineHeadroomReported& event, Instant)
 {
-    bool hasIncreased = m_replicas.rooms().update(event.address, event.capacity);
+    bool hasIncreased = m_replicas.engineHeadroom().update(event.address, event.headroom);
     m_shouldAdmit = m_shouldAdmit || (hasIncreased && m_queue.size());
 }
 
@@ -206,10 +206,10 @@
     flow.stage = Flow::Stage::Prefilling;
     flow.triedPrefillReplicas.insert(choice->run);
     startCall(flow, *choice, now);
-    if (const auto* capacity = m_replicas.rooms().find(choice->address)) {
-        flow.prefillSidecar = capacity->sidecar;
-        m_replicas.rooms().addPrefill(choice->address, flow.request.promptTokens);
-        m_effects.push_back(NotifyPrefill { capacity->sidecar, flow.id, flow.request.promptTokens, false });
+    if (const auto* headroom = m_replicas.engineHeadroom().find(choice->address)) {
+        flow.prefillSidecar = headroom->sidecar;
+        m_replicas.engineHeadroom().addPrefill(choice->address, flow.request.promptTokens);
+        m_effects.push_back(NotifyPrefill { headroom->sidecar, flow.id, flow.request.promptTokens, false });
     }
     Send send { flow.id, flow.attempt, choice->run, choice->address, flow.deadline - now, std::nullopt, true, std::nullopt, {}, {}, {} };
     send.account = accountOf(flow);
--- a/src/request/forward/ReplicaTable.cpp
+++ b/src/request/forward/ReplicaTable.cpp
@@ -28,13 +28,13 @@
 } // namespace
 
 double ReplicaTable::costOf(
-    const ReplicaRegistry::Entry& entry, const Load& load, const EngineHeadroomTable::Headroom* capacity, const Criteria& criteria) const
+    const ReplicaRegistry::Entry& entry, const Load& load, const EngineHeadroomTable::Headroom* headroom, const Criteria& criteria) const
 {
     const auto& announcement = entry.announcement;
     double cost = 0;
-    if (criteria.cacheTokens && capacity) {
-        auto usedTokens = criteria.kind == UpstreamKind::Prefill ? capacity->prefillBacklog
-                                                                 : criteria.cacheTokens - std::min(criteria.cacheTokens, capacity->tokens);
+    if (criteria.cacheTokens && headroom) {
+        auto usedTokens = criteria.kind == UpstreamKind::Prefill ? headroom->prefillBacklog
+                                                                 : criteria.cacheTokens - std::min(criteria.cacheTokens, headroom->tokens);
         cost = static_cast<double>(usedTokens) + criteria.tokens;
     } else if (criteria.cacheTokens) {
         cost = static_cast<double>(load.tokens) + tokensPerCall * load.calls + criteria.tokens;
@@ -93,17 +93,17 @@
             continue;
         const auto& load = m_loads[run];
         bool isAtLimit = criteria.maxCalls && load.calls >= criteria.maxCalls;
-        const auto* capacity = m_rooms.find(entry.announcement.address);
-        bool isFull = load.fullUntil > now || (capacity && capacity->tokens < criteria.minFreeTokens);
+        const auto* headroom = m_engineHeadroom.find(entry.announcement.address);
+        bool isFull = load.fullUntil > now || (headroom && headroom->tokens < criteria.minFreeTokens);
         if (criteria.excludeOverdue && entry.isOverdue(now))
             continue;
         if (isAtLimit || load.misdirectedUntil > now || (criteria.excludeFull && isFull))
             continue;
         // For an engine whose free memory isn't known, only this gateway's own calls are counted, which are the smallest part of its load.
-        bool hasUnknownCapacity = criteria.promptTokens && !capacity;
+        bool hasUnknownHeadroom = criteria.promptTokens && !headroom;
         // Random noise of up to a tenth, so that gateways that see the same idle replicas don't all choose the same one.
-        double cost = costOf(entry, load, capacity, criteria) * std::uniform_real_distribution<double>(1, 1.1)(m_random);
-        std::tuple rank(isOutsideSubset, isSuspect(entry, load, now), hasUnknownCapacity, cost);
+        double cost = costOf(entry, load, headroom, criteria) * std::uniform_real_distribution<double>(1, 1.1)(m_random);
+        std::tuple rank(isOutsideSubset, isSuspect(entry, load, now), hasUnknownHeadroom, cost);
         if (best && rank >= bestRank)
             continue;
         best = &entry;
--- a/src/request/forward/ReplicaTable.h
+++ b/src/request/forward/ReplicaTable.h
@@ -93,7 +93,7 @@
     void noteFull(const ReplicaRun&, Instant until);
     void clearFull(const ReplicaRun& run) { noteFull(run, {}); }
     /// The free KV memory of engines, as reported by their sidecars.
-    EngineHeadroomTable& rooms() { return m_rooms; }
+    EngineHeadroomTable& engineHeadroom() { return m_engineHeadroom; }
     /// Whether exactly this run accepts work.
     [[nodiscard]] bool isReady(const ReplicaRun&) const;
     /// Drops the load data of runs that have ended, except those with calls in progress.
@@ -112,7 +112,7 @@
     std::mt19937_64 m_random;
     ReplicaRegistry m_registry;
     std::map<ReplicaRun, Load> m_loads;
-    EngineHeadroomTable m_rooms;
+    EngineHeadroomTable m_engineHeadroom;
     EngineSubset m_subset;
     Instant m_controllerHeardAt;
 };
--- a/test/correctness/ForwardTest.cpp
+++ b/test/correctness/ForwardTest.cpp
@@ -701,8 +701,8 @@
     bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     constexpr PeerId besideDecode { 5 };
     constexpr PeerId besidePrefill { 6 };
-    bench.post(EngineCapacityReported { "d:80", { besideDecode, 60000, 0 } });
-    bench.post(EngineCapacityReported { "p:80", { besidePrefill, 0, 0 } });
+    bench.post(EngineHeadroomReported { "d:80", { besideDecode, 60000, 0 } });
+    bench.post(EngineHeadroomReported { "p:80", { besidePrefill, 0, 0 } });
     auto id = bench.submit("/stream/x");
     auto reserve = bench.only<ReserveAtSidecar>();
     CHECK(bench.effects<ReserveAtReplica>().empty());
@@ -731,7 +731,7 @@
     for (bool isGranted : { false, true }) {
         Bench bench;
         bench.serve().replica("p", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
-        bench.post(EngineCapacityReported { "d:80", { PeerId(5), 60000, 0 } });
+        bench.post(EngineHeadroomReported { "d:80", { PeerId(5), 60000, 0 } });
         auto id = bench.submit("/stream/x");
         if (isGranted)
             bench.post(SidecarReservationReply { id, bench.only<ReserveAtSidecar>().attempt, true, 50000 });
@@ -746,8 +746,8 @@
 {
     Bench bench;
     bench.serve().replica("d", UpstreamKind::Decode).replica("e", UpstreamKind::Decode);
-    bench.post(EngineCapacityReported { "d:80", { PeerId(5), 4000, 0 } });
-    bench.post(EngineCapacityReported { "e:80", { PeerId(6), 30000, 0 } });
+    bench.post(EngineHeadroomReported { "d:80", { PeerId(5), 4000, 0 } });
+    bench.post(EngineHeadroomReported { "e:80", { PeerId(6), 30000, 0 } });
     bench.submit("/stream/x");
     CHECK((bench.only<ReserveAtSidecar>().sidecar == PeerId(6)));
     // The sidecar refuses, as another gateway was faster. No engine has free memory now, so the request waits until one has.
@@ -755,7 +755,7 @@
     CHECK(bench.effects<ReserveAtSidecar>().empty());
     bench.wait(100ms);
     CHECK(bench.effects<ReserveAtSidecar>().empty());
-    bench.post(EngineCapacityReported { "d:80", { PeerId(5), 20000, 0 } });
+    bench.post(EngineHeadroomReported { "d:80", { PeerId(5), 20000, 0 } });
     CHECK((bench.only<ReserveAtSidecar>().sidecar == PeerId(5)));
     // The reservation call to a sidecar times out. An engine whose sidecar has disconnected is asked directly.
     bench.post(PeerDisconnected { PeerId(6) });
@@ -772,8 +772,8 @@
     bench.serve().replica("p", UpstreamKind::Prefill).replica("q", UpstreamKind::Prefill).replica("d", UpstreamKind::Decode);
     std::map<std::string, int> chosen;
     for (int i = 0; i < 10; ++i) {
-        bench.post(EngineCapacityReported { "p:80", { PeerId(5), 0, 50000 } });
-        bench.post(EngineCapacityReported { "q:80", { PeerId(6), 0, 5000 } });
+        bench.post(EngineHeadroomReported { "p:80", { PeerId(5), 0, 50000 } });
+        bench.post(EngineHeadroomReported { "q:80", { PeerId(6), 0, 5000 } });
         auto reserve = [&] {
             bench.submit("/stream/x");
             return bench.only<ReserveAtReplica>();
