--- a/src/message/TextChange.cpp
+++ b/src/message/TextChange.cpp
@@ -119,8 +119,8 @@
         auto from = static_cast<std::ptrdiff_t>(at) + shift;
         if (from < 0 || static_cast<std::size_t>(from) + blockBytes > oldText.size())
             return std::nullopt;
-        auto place = static_cast<std::size_t>(from);
-        return oldText.substr(place, blockBytes) == newText.substr(at, blockBytes) ? std::optional(place) : std::nullopt;
+        auto offset = static_cast<std::size_t>(from);
+        return oldText.substr(offset, blockBytes) == newText.substr(at, blockBytes) ? std::optional(offset) : std::nullopt;
     }
 
     /// Scans `newText` for blocks of `oldText`; what lies between two matches is inserted.
--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -441,7 +441,7 @@
     {
         const auto& report = use.report;
         tellControllers([&report](PeerId to) {
-            return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.told };
+            return QuotaReport { report.uses, report.totalsSource == to, report.asksForAll, report.knownGateways };
         });
     }
 
--- a/src/process/QuotaRelay.cpp
+++ b/src/process/QuotaRelay.cpp
@@ -34,7 +34,7 @@
 
 void QuotaRelay::tell()
 {
-    for (const auto& [peer, totals] : m_exchange.tell(currentInstant()))
+    for (const auto& [peer, totals] : m_exchange.totalsToSend(currentInstant()))
         m_hub.send(peer, totals);
     m_timer.expires_after(quota::broadcastInterval);
     m_timer.async_wait([this](ErrorCode ec) {
--- a/src/request/fleet/AccountQuota.cpp
+++ b/src/request/fleet/AccountQuota.cpp
@@ -103,8 +103,8 @@
     m_unreported += amount;
     m_ownRate.add(amount, now);
     m_exceedsShare = m_shareLevel < -maxOverdraftFraction * tolerance() / m_gateways;
-    bool isTold = now - m_lastTotalAt <= totalTimeout;
-    if (m_exceedsShare && !isTold && !m_requestedAt)
+    bool hasRecentTotal = now - m_lastTotalAt <= totalTimeout;
+    if (m_exceedsShare && !hasRecentTotal && !m_requestedAt)
         m_requestedAt = now;
 }
 
--- a/src/request/fleet/AccountQuotas.h
+++ b/src/request/fleet/AccountQuotas.h
@@ -50,7 +50,7 @@
         std::vector<AccountUsage> uses;
         std::optional<PeerId> totalsSource; ///< The controller whose totals this gateway applies.
         bool asksForAll = false;
-        GatewayCounts told;
+        GatewayCounts knownGateways;
     };
     /// \returns nothing before `nextReport`, or without contact to a controller.
     std::optional<Report> report(Instant now);
--- a/src/request/fleet/QuotaAggregator.cpp
+++ b/src/request/fleet/QuotaAggregator.cpp
@@ -118,7 +118,7 @@
     return std::min(sum, account.limit);
 }
 
-std::vector<std::pair<PeerId, QuotaTotals>> QuotaAggregator::tell(Instant now)
+std::vector<std::pair<PeerId, QuotaTotals>> QuotaAggregator::totalsToSend(Instant now)
 {
     takeSnapshot(now);
     detectSilentGateways(now);
--- a/src/request/fleet/QuotaAggregator.h
+++ b/src/request/fleet/QuotaAggregator.h
@@ -39,7 +39,7 @@
     /// Adds a gateway's report.
     void take(PeerId gateway, const QuotaReport&, Instant now);
     /// Returns the totals to send, with their recipients. Call it every `quota::broadcastInterval`.
-    std::vector<std::pair<PeerId, QuotaTotals>> tell(Instant now);
+    std::vector<std::pair<PeerId, QuotaTotals>> totalsToSend(Instant now);
 
 private:
     /// Earlier after its start a controller's rates come from a few requests only.
--- a/src/version/RoutingDocument.cpp
+++ b/src/version/RoutingDocument.cpp
@@ -84,11 +84,12 @@
 
 const Route* RouteTable::find(std::string_view host, std::string_view path) const
 {
-    auto place = routeKey(host, path);
+    auto candidateKey = routeKey(host, path);
     // Every prefix ends with a slash: shorten the path to each preceding slash.
-    for (auto n = place.rfind('/'); n != std::string::npos && n + 1 > host.size(); n = n ? place.rfind('/', n - 1) : std::string::npos) {
-        place.resize(n + 1);
-        if (auto it = m_routes.find(place); it != m_routes.end())
+    for (auto n = candidateKey.rfind('/'); n != std::string::npos && n + 1 > host.size();
+         n = n ? candidateKey.rfind('/', n - 1) : std::string::npos) {
+        candidateKey.resize(n + 1);
+        if (auto it = m_routes.find(candidateKey); it != m_routes.end())
             return &m_document.routes[it->second];
         if (n <= host.size())
             break;
--- a/test/performance/QuotaBench.cpp
+++ b/test/performance/QuotaBench.cpp
@@ -74,7 +74,7 @@
             m_reportMicros += microsSince(from);
             if (!report)
                 return;
-            QuotaReport message { report->uses, report->totalsSource == controller, report->asksForAll, report->told };
+            QuotaReport message { report->uses, report->totalsSource == controller, report->asksForAll, report->knownGateways };
             m_reported += static_cast<double>(encode(message).size());
             from = std::chrono::steady_clock::now();
             m_exchange.take(PeerId(100 + i), message, m_now);
@@ -93,7 +93,7 @@
         void tell()
         {
             auto from = std::chrono::steady_clock::now();
-            auto all = m_exchange.tell(m_now);
+            auto all = m_exchange.totalsToSend(m_now);
             m_exchangeMicros += microsSince(from);
             for (const auto& [peer, totals] : all) {
                 m_told += static_cast<double>(encode(totals).size());
--- a/test/support/QuotaFleet.h
+++ b/test/support/QuotaFleet.h
@@ -174,7 +174,7 @@
         if ((now - start) % quota::broadcastInterval != Duration::zero())
             return;
         for (std::size_t c = 0; c < m_controllers.size(); ++c) {
-            for (const auto& [peer, totals] : m_controllers[c].tell(now))
+            for (const auto& [peer, totals] : m_controllers[c].totalsToSend(now))
                 deliverTotals(c, peer, totals);
         }
     }
@@ -194,7 +194,7 @@
                 continue;
             ++messages;
             m_controllers[c].take(
-                m_gateways[g].id, { report.uses, report.totalsSource == PeerId(500 + c), report.asksForAll, report.told }, now);
+                m_gateways[g].id, { report.uses, report.totalsSource == PeerId(500 + c), report.asksForAll, report.knownGateways }, now);
         }
     }
 
