--- a/src/process/QuotaRelay.cpp
+++ b/src/process/QuotaRelay.cpp
@@ -34,7 +34,7 @@
 
 void QuotaRelay::broadcast()
 {
-    for (const auto& [peer, totals] : m_aggregator.tell(currentInstant()))
+    for (const auto& [peer, totals] : m_aggregator.totalsToSend(currentInstant()))
         m_hub.send(peer, totals);
     m_timer.expires_after(quota::broadcastInterval);
     m_timer.async_wait([this](ErrorCode ec) {
--- a/src/request/forward/ForwardEvents.h
+++ b/src/request/forward/ForwardEvents.h
@@ -86,7 +86,7 @@
     bool isGranted = false;
     std::uint64_t headroom = 0; ///< Free KV memory of the engine in tokens, after this reservation.
 };
-/// A sidecar reported how much KV memory of its engine is free.
+/// A sidecar reported the headroom of its engine: how much of the KV memory is free.
 struct EngineHeadroomReported {
     std::string address; ///< Of the engine.
     EngineHeadroomTable::Headroom headroom;
--- a/test/performance/QuotaBench.cpp
+++ b/test/performance/QuotaBench.cpp
@@ -93,7 +93,7 @@
         void tell()
         {
             auto from = std::chrono::steady_clock::now();
-            auto all = m_exchange.tell(m_now);
+            auto all = m_exchange.totalsToSend(m_now);
             m_exchangeMicros += microsSince(from);
             for (const auto& [peer, totals] : all) {
                 m_told += static_cast<double>(encode(totals).size());
