--- a/src/message/Messages.h
+++ b/src/message/Messages.h
@@ -658,15 +658,15 @@
     double amount = 0;
     double perSecond = 0; ///< The account's limit.
     bool asksForTotal = false; ///< The gateway uses more than it may without knowing the other gateways' usage.
-    double reservedPerSecond = 0; ///< Part of the limit set aside for gateways that don't report, as last received.
+    double reservedPerSecond = 0; ///< Part of the limit reserved for unreachable gateways, as last received.
     MSGPACK_DEFINE(account, amount, perSecond, asksForTotal, reservedPerSecond)
 };
 
 /// The gateways that share the limits, as seen by one controller.
 struct GatewayCounts {
     std::uint32_t all = 0;
-    std::uint32_t notReporting = 0; ///< Of these, the ones without a report to the controller; part of each limit is set aside for them.
-    MSGPACK_DEFINE(all, notReporting)
+    std::uint32_t unreachable = 0; ///< Of these, the ones that don't report to the controller; part of each limit is reserved for them.
+    MSGPACK_DEFINE(all, unreachable)
 };
 
 /// From a gateway to all controllers, twice a second and soon after heavy use.
@@ -683,7 +683,7 @@
     AccountId account;
     double othersUsage = 0; ///< Since the last total sent to this gateway, or over a short recent period if that is longer ago.
     double othersPerSecond = 0;
-    double reservedPerSecond = 0; ///< Part of the limit set aside for gateways that don't report to the sender.
+    double reservedPerSecond = 0; ///< Part of the limit reserved for gateways that are unreachable for the sender.
     bool isBusy = false; ///< The account is near its limit; further totals follow soon.
     MSGPACK_DEFINE(account, othersUsage, othersPerSecond, reservedPerSecond, isBusy)
 };
--- a/src/request/fleet/InheritedReserve.cpp
+++ b/src/request/fleet/InheritedReserve.cpp
@@ -11,7 +11,7 @@
     if (now - *m_firstReportAt > learningPeriod)
         return;
     m_gatewaysSeen.all = std::max(m_gatewaysSeen.all, report.knownGateways.all);
-    m_gatewaysSeen.notReporting = std::max(m_gatewaysSeen.notReporting, report.knownGateways.notReporting);
+    m_gatewaysSeen.unreachable = std::max(m_gatewaysSeen.unreachable, report.knownGateways.unreachable);
     for (const auto& use : report.uses) {
         auto& perSecond = m_perSecond[use.account];
         perSecond = std::max(perSecond, use.reservedPerSecond);
@@ -25,9 +25,9 @@
     auto missing = m_gatewaysSeen.all - gateways;
     auto evenShare = now - *m_firstReportAt > missingAfter ? limit * missing / m_gatewaysSeen.all : 0;
     auto it = m_perSecond.find(account);
-    if (it == m_perSecond.end() || m_gatewaysSeen.notReporting == 0)
+    if (it == m_perSecond.end() || m_gatewaysSeen.unreachable == 0)
         return evenShare;
-    return std::max(evenShare, it->second * std::min(missing, m_gatewaysSeen.notReporting) / m_gatewaysSeen.notReporting);
+    return std::max(evenShare, it->second * std::min(missing, m_gatewaysSeen.unreachable) / m_gatewaysSeen.unreachable);
 }
 
 } // namespace wrenhinge
--- a/src/request/fleet/QuotaAggregator.cpp
+++ b/src/request/fleet/QuotaAggregator.cpp
@@ -7,7 +7,7 @@
 void QuotaAggregator::connected(PeerId gateway, const std::string& name)
 {
     m_gateways[gateway].name = name;
-    m_lostGateways.erase(name);
+    m_unreachableGateways.erase(name);
 }
 
 void QuotaAggregator::disconnected(PeerId gateway, Instant now)
@@ -19,17 +19,17 @@
     m_gateways.erase(it);
     // A newer run may have connected before this controller noticed the end of the former one.
     bool isReplaced = std::any_of(m_gateways.begin(), m_gateways.end(), [&](const auto& item) { return item.second.name == former.name; });
-    if (auto lost = m_lostGateways.find(former.name); lost != m_lostGateways.end())
-        lost->second.isConnected = false;
+    if (auto unreachable = m_unreachableGateways.find(former.name); unreachable != m_unreachableGateways.end())
+        unreachable->second.isConnected = false;
     else if (!isReplaced)
-        markLost(former, false, now);
+        markUnreachable(former, false, now);
 }
 
-void QuotaAggregator::markLost(const Gateway& gateway, bool isConnected, Instant now)
+void QuotaAggregator::markUnreachable(const Gateway& gateway, bool isConnected, Instant now)
 {
     auto n = gatewayCount() + (isConnected ? 0 : 1);
     auto snapshotsAgo = std::min<std::size_t>((now - gateway.lastHeardAt) / snapshotInterval, Account().snapshots.size() - 1);
-    LostGateway lost { now, isConnected, {} };
+    UnreachableGateway unreachable { now, isConnected, {} };
     for (const auto& [id, account] : m_accounts) {
         auto usage = gateway.usages.find(id);
         auto own = usage != gateway.usages.end() ? usage->second.rate.perSecond(gateway.lastHeardAt) : 0;
@@ -37,19 +37,19 @@
         auto all = std::max(own, rate);
         // Without this, the gateway of the first request after a pause would have almost the whole usage-weighted part of the limit.
         bool isIdle = all < idleFraction * account.limit;
-        lost.reservations[id] = isIdle ? account.limit / n : quota::isolatedShare(account.limit, reserved, own, all, n);
+        unreachable.reservations[id] = isIdle ? account.limit / n : quota::isolatedShare(account.limit, reserved, own, all, n);
     }
-    m_lostGateways[gateway.name] = std::move(lost);
+    m_unreachableGateways[gateway.name] = std::move(unreachable);
 }
 
 std::uint32_t QuotaAggregator::gatewayCount() const
 {
-    auto unconnected
-        = std::count_if(m_lostGateways.begin(), m_lostGateways.end(), [](const auto& item) { return !item.second.isConnected; });
+    auto unconnected = std::count_if(
+        m_unreachableGateways.begin(), m_unreachableGateways.end(), [](const auto& item) { return !item.second.isConnected; });
     return static_cast<std::uint32_t>(m_gateways.size()) + static_cast<std::uint32_t>(unconnected);
 }
 
-GatewayCounts QuotaAggregator::gatewaysSeen() const { return { gatewayCount(), static_cast<std::uint32_t>(m_lostGateways.size()) }; }
+GatewayCounts QuotaAggregator::gatewaysSeen() const { return { gatewayCount(), static_cast<std::uint32_t>(m_unreachableGateways.size()) }; }
 
 void QuotaAggregator::take(PeerId from, const QuotaReport& report, Instant now)
 {
@@ -63,7 +63,7 @@
     gateway.wantsTotals = report.wantsTotals;
     gateway.asksForAll = report.wantsTotals && report.asksForAll;
     m_inherited.take(report, now);
-    m_lostGateways.erase(gateway.name);
+    m_unreachableGateways.erase(gateway.name);
     takeSnapshot(now);
     for (const auto& use : report.uses) {
         auto& account = m_accounts[use.account];
@@ -101,19 +101,19 @@
 {
     for (const auto& [id, gateway] : m_gateways) {
         bool isSilent = gateway.lastHeardAt != Instant() && now - gateway.lastHeardAt > silentAfter;
-        if (isSilent && !m_lostGateways.contains(gateway.name))
-            markLost(gateway, true, now);
+        if (isSilent && !m_unreachableGateways.contains(gateway.name))
+            markUnreachable(gateway, true, now);
     }
-    std::erase_if(m_lostGateways, [now](const auto& item) { return now - item.second.at > reservationPeriod; });
+    std::erase_if(m_unreachableGateways, [now](const auto& item) { return now - item.second.at > reservationPeriod; });
 }
 
 double QuotaAggregator::reserved(AccountId id, const Account& account, Instant now) const
 {
     double sum = m_inherited.perSecond(id, account.limit, gatewayCount(), now);
-    for (const auto& [name, lost] : m_lostGateways) {
-        // An account that was not known when the gateway was lost had no usage then.
-        auto it = lost.reservations.find(id);
-        sum += it != lost.reservations.end() ? it->second : account.limit / gatewayCount();
+    for (const auto& [name, unreachable] : m_unreachableGateways) {
+        // An account that was not known when the gateway became unreachable had no usage then.
+        auto it = unreachable.reservations.find(id);
+        sum += it != unreachable.reservations.end() ? it->second : account.limit / gatewayCount();
     }
     return std::min(sum, account.limit);
 }
--- a/src/request/fleet/QuotaAggregator.h
+++ b/src/request/fleet/QuotaAggregator.h
@@ -58,8 +58,8 @@
         double total = 0;
         double totalAtSnapshot = 0;
         double limit = 0;
-        /// The rate of all gateways and the reservations at the last snapshots, newest first. When a gateway is found to be lost, the
-        /// snapshot from the time of its last report is used, since the others have continued without it since then.
+        /// The rate of all gateways and the reservations at the last snapshots, newest first. When a gateway is found to be unreachable,
+        /// the snapshot from the time of its last report is used, since the others have continued without it since then.
         struct Snapshot {
             double rate = 0;
             double reserved = 0;
@@ -91,13 +91,13 @@
         std::set<AccountId> requested; ///< Accounts that it may have requested within `busyHoldTime`.
     };
     /// An unreachable gateway, and what it may use per second.
-    struct LostGateway {
+    struct UnreachableGateway {
         Instant at;
         bool isConnected = false; ///< Its connection is open, but nothing arrives.
         std::unordered_map<AccountId, double> reservations;
     };
 
-    void markLost(const Gateway&, bool isConnected, Instant now);
+    void markUnreachable(const Gateway&, bool isConnected, Instant now);
     void detectSilentGateways(Instant now);
     void takeSnapshot(Instant now);
     [[nodiscard]] double reserved(AccountId, const Account&, Instant now) const;
@@ -110,7 +110,7 @@
 
     std::unordered_map<AccountId, Account> m_accounts;
     std::map<PeerId, Gateway> m_gateways;
-    std::map<std::string, LostGateway> m_lostGateways; ///< By the gateway's name, which it keeps when it restarts.
+    std::map<std::string, UnreachableGateway> m_unreachableGateways; ///< By the gateway's name, which it keeps when it restarts.
     std::optional<Instant> m_startedAt; ///< When the first report arrived.
     InheritedReserve m_inherited { reservationPeriod };
     std::vector<AccountId> m_broadcastAccounts; ///< Accounts that the current broadcast contains for every recipient.
--- a/src/request/forward/ForwardLogic.cpp
+++ b/src/request/forward/ForwardLogic.cpp
@@ -441,8 +441,8 @@
 /// Logs each call except repeated reservation calls of the same request: in a surge there are dozens of them, without new information.
 void ForwardLogic::logCall(Flow& flow)
 {
-    bool isAskingAgain = flow.stage == Flow::Stage::Reserving && flow.reservationAttempts++;
-    if (isAskingAgain)
+    bool isRepeatedReservation = flow.stage == Flow::Stage::Reserving && flow.reservationAttempts++;
+    if (isRepeatedReservation)
         return;
     const auto& load = m_replicas.loads().at(flow.replica);
     auto code = flow.stage == Flow::Stage::Running ? EventCode::RequestPlaced
--- a/src/request/sidecar/GatewayContext.cpp
+++ b/src/request/sidecar/GatewayContext.cpp
@@ -137,7 +137,7 @@
 
 void GatewayContext::sendToControllers(const Message& message)
 {
-    for (auto controller : controllers.linked())
+    for (auto controller : controllers.connectedControllers())
         send(controller, message);
 }
 
--- a/src/version/ControllerClient.h
+++ b/src/version/ControllerClient.h
@@ -38,7 +38,7 @@
     std::optional<Decided> onReply(const ProposeReply&, Sends& sends, Instant now);
     /// Resends proposals without a timely reply, and returns those past their deadline.
     std::vector<Decided> tick(Sends& sends, Instant now);
-    [[nodiscard]] const std::vector<PeerId>& linked() const { return m_controllers; }
+    [[nodiscard]] const std::vector<PeerId>& connectedControllers() const { return m_controllers; }
     [[nodiscard]] bool empty() const { return m_pending.empty(); }
 
 private:
--- a/src/version/Raft.cpp
+++ b/src/version/Raft.cpp
@@ -127,8 +127,9 @@
 /// leader reject it.
 void Raft::shortenFirstElectionTimeout(Instant now)
 {
-    auto linked = std::count_if(m_members.begin(), m_members.end(), [this](const auto& member) { return m_linked.contains(member); });
-    if (!m_isFirstElection || selfCount() + static_cast<std::size_t>(linked) < majority())
+    auto connected
+        = std::count_if(m_members.begin(), m_members.end(), [this](const auto& member) { return m_connectedControllers.contains(member); });
+    if (!m_isFirstElection || selfCount() + static_cast<std::size_t>(connected) < majority())
         return;
     auto spread = std::uniform_int_distribution<std::int64_t>(0, m_settings.heartbeat.count())(m_random);
     m_electionDue = std::min(m_electionDue, now + m_settings.heartbeat + Duration(spread));
@@ -237,7 +238,7 @@
         if (member != m_settings.self)
             m_progress[member] = freshProgress(lastIndex() + 1, diskOf(member), now);
     }
-    for (const auto& learner : m_linked) {
+    for (const auto& learner : m_connectedControllers) {
         if (!m_progress.contains(learner))
             m_progress[learner] = freshProgress(lastIndex() + 1, diskOf(learner), now);
     }
--- a/src/version/Raft.h
+++ b/src/version/Raft.h
@@ -240,7 +240,7 @@
     std::vector<std::string> m_appliedMembers;
     std::uint64_t m_leaderCommit = 0; ///< The highest commit index that this leader has sent.
     std::set<std::pair<std::string, DiskId>> m_registering;
-    std::set<std::string> m_linked; ///< The connected controllers, members or not.
+    std::set<std::string> m_connectedControllers; ///< The connected controllers, members or not.
     /// The availability zones of the controllers, as they report them or as the log contains them. Zones only decide which controller is
     /// preferred, so an entry that is deleted later does no harm.
     std::map<std::string, std::string> m_zones;
--- a/src/version/RaftMembers.cpp
+++ b/src/version/RaftMembers.cpp
@@ -67,7 +67,7 @@
 
 void Raft::addPeer(const std::string& name, const std::string& zone, Instant now)
 {
-    m_linked.insert(name);
+    m_connectedControllers.insert(name);
     m_zones[name] = zone;
     if (isLeader() && name != m_settings.self && !m_progress.contains(name))
         m_progress[name] = freshProgress(lastIndex() + 1, diskOf(name), now);
@@ -76,7 +76,7 @@
 
 void Raft::removePeer(const std::string& name)
 {
-    m_linked.erase(name);
+    m_connectedControllers.erase(name);
     if (!isMember(name))
         m_progress.erase(name);
 }
@@ -114,8 +114,8 @@
     membership::ClusterView view { m_members, m_settings.self, m_settings.zone, {}, m_commit, m_settings.toleratedFailures };
     for (const auto& [name, progress] : m_progress) {
         auto zone = m_zones.find(name);
-        view.peers.push_back({ name, zone == m_zones.end() ? std::string() : zone->second, m_linked.contains(name), progress.isDiskless,
-            countsTowardsQuorum(name, progress), progress.match, now - progress.lastReplyAt });
+        view.peers.push_back({ name, zone == m_zones.end() ? std::string() : zone->second, m_connectedControllers.contains(name),
+            progress.isDiskless, countsTowardsQuorum(name, progress), progress.match, now - progress.lastReplyAt });
     }
     return membership::plan(view).value_or(m_members);
 }
