--- a/src/request/engine/EngineAdmission.cpp
+++ b/src/request/engine/EngineAdmission.cpp
@@ -40,7 +40,7 @@
 void EngineAdmission::on(const GatewayDown& event, Instant now)
 {
     m_gateways.erase(event.gateway);
-    std::erase_if(m_requests, [&event](const auto& item) { return item.second.gateway == event.gateway && !item.second.use.generated; });
+    std::erase_if(m_requests, [&event](const auto& item) { return item.second.gateway == event.gateway && !item.second.usage.generated; });
     std::erase_if(m_prefills, [&event](const auto& item) { return item.second.gateway == event.gateway; });
     updateHeadroom(now);
 }
@@ -48,10 +48,11 @@
 void EngineAdmission::on(const ReservationRequested& event, Instant now)
 {
     const auto& request = event.request;
-    MemoryUse use { request.promptTokens, 0, std::max(1u, request.expectedTokens), std::max(request.maxTokens, request.expectedTokens) };
-    bool isGranted = fits(use, request.slots, now);
+    MemoryUsage usage { request.promptTokens, 0, std::max(1u, request.expectedTokens),
+        std::max(request.maxTokens, request.expectedTokens) };
+    bool isGranted = fits(usage, request.slots, now);
     if (isGranted) {
-        m_requests[request.run] = Request { request.request, event.gateway, use, now };
+        m_requests[request.run] = Request { request.request, event.gateway, usage, now };
         m_circuitBreaker.recordSent(request.request, now);
         updateHeadroom(now);
     }
@@ -65,7 +66,7 @@
     if (it == m_requests.end())
         return;
     if (event.end.isComplete)
-        m_lengths.record(it->second.use.expected, it->second.use.generated);
+        m_lengths.record(it->second.usage.expected, it->second.usage.generated);
     recordEnd(event, now);
     m_requests.erase(it);
     updateHeadroom(now);
@@ -105,21 +106,21 @@
 }
 
 /// Whether another request fits into the engine's memory and slots.
-bool EngineAdmission::fits(const MemoryUse& added, std::uint32_t slots, Instant now) const
+bool EngineAdmission::fits(const MemoryUsage& added, std::uint32_t slots, Instant now) const
 {
     if (!acceptsRequests(now) || m_requests.size() >= slots)
         return false;
-    auto all = uses();
+    auto all = usages();
     all.push_back(added);
     return forecastPeak(all, m_lengths, m_settings.spareDeviations) <= static_cast<double>(available());
 }
 
-std::vector<MemoryUse> EngineAdmission::uses() const
+std::vector<MemoryUsage> EngineAdmission::usages() const
 {
-    std::vector<MemoryUse> list;
+    std::vector<MemoryUsage> list;
     list.reserve(m_requests.size() + 1);
     for (const auto& [id, request] : m_requests)
-        list.push_back(request.use);
+        list.push_back(request.usage);
     return list;
 }
 
@@ -132,7 +133,7 @@
     m_headroom = 0;
     if (!acceptsRequests(now))
         return;
-    auto needed = static_cast<std::uint64_t>(forecastPeak(uses(), m_lengths, m_settings.spareDeviations));
+    auto needed = static_cast<std::uint64_t>(forecastPeak(usages(), m_lengths, m_settings.spareDeviations));
     m_headroom = available() - std::min(available(), needed);
 }
 
@@ -225,25 +226,25 @@
     auto [it, isNew] = m_requests.try_emplace(running.id);
     auto& request = it->second;
     request.seenAt = now;
-    auto& use = request.use;
+    auto& usage = request.usage;
     if (isNew) {
         // Reserved by a gateway that could not reach this process, or before this process started.
-        use.generated = std::min(running.tokens, static_cast<std::uint32_t>(m_tokensPerEvent * running.events));
-        use.promptTokens = running.tokens - use.generated;
+        usage.generated = std::min(running.tokens, static_cast<std::uint32_t>(m_tokensPerEvent * running.events));
+        usage.promptTokens = running.tokens - usage.generated;
     } else {
         updateTokensPerEvent(running, request);
-        use.generated = running.tokens - std::min(running.tokens, use.promptTokens);
+        usage.generated = running.tokens - std::min(running.tokens, usage.promptTokens);
     }
     if (!request.id)
-        use.expected = use.maxTokens = std::max(1u, use.generated * assumedLengthFactor);
+        usage.expected = usage.maxTokens = std::max(1u, usage.generated * assumedLengthFactor);
 }
 
 /// Updates the mean number of tokens per stream event from a request whose prompt length is known.
 void EngineAdmission::updateTokensPerEvent(const RunningRequest& running, const Request& request)
 {
-    if (!request.id || !running.events || running.tokens <= request.use.promptTokens)
+    if (!request.id || !running.events || running.tokens <= request.usage.promptTokens)
         return;
-    auto tokensPerEvent = static_cast<double>(running.tokens - request.use.promptTokens) / running.events;
+    auto tokensPerEvent = static_cast<double>(running.tokens - request.usage.promptTokens) / running.events;
     m_tokensPerEvent += (tokensPerEvent - m_tokensPerEvent) * (m_tokensPerEvent > 0 ? sampleWeight : 1);
 }
 
--- a/src/request/engine/EngineAdmission.h
+++ b/src/request/engine/EngineAdmission.h
@@ -136,7 +136,7 @@
     struct Request {
         std::optional<RequestId> id; ///< Empty: it has no reservation in this process.
         PeerId gateway;
-        MemoryUse use;
+        MemoryUsage usage;
         Instant seenAt; ///< When it was last in a report, or was reserved.
     };
 
@@ -160,8 +160,8 @@
     void updateTokensPerEvent(const admission::RunningRequest&, const Request&);
     void read(Instant);
     void sendHeadroom(Instant);
-    [[nodiscard]] bool fits(const MemoryUse& added, std::uint32_t slots, Instant now) const;
-    [[nodiscard]] std::vector<MemoryUse> uses() const;
+    [[nodiscard]] bool fits(const MemoryUsage& added, std::uint32_t slots, Instant now) const;
+    [[nodiscard]] std::vector<MemoryUsage> usages() const;
     [[nodiscard]] std::uint64_t available() const;
     void updateHeadroom(Instant);
     /// False while requests are waiting at the engine: an engine that has preempted streams keeps a few of them waiting and refuses further
--- a/src/request/engine/EngineLoad.cpp
+++ b/src/request/engine/EngineLoad.cpp
@@ -56,7 +56,7 @@
         bool isKnown = service.secondsPerToken > 0 && service.answers >= minAnswers;
         if (isKnown && service.requests) {
             auto ofMemory = static_cast<double>(service.tokens)
-                / (meanMemoryUse * static_cast<double>(std::max<std::uint64_t>(1, service.facts.cacheTokens)));
+                / (meanMemoryUtilization * static_cast<double>(std::max<std::uint64_t>(1, service.facts.cacheTokens)));
             auto ofSlots = static_cast<double>(service.requests) / std::max(1u, service.facts.slots);
             auto& busy = report.services[name];
             busy.prefill = static_cast<double>(service.promptTokens) * service.secondsPerToken / seconds;
--- a/src/request/engine/EngineLoad.h
+++ b/src/request/engine/EngineLoad.h
@@ -24,7 +24,7 @@
     static constexpr double minAnswers = 2;
     /// The mean share of a decode replica's memory in use when it admits no more answers; the rest is reserved for their growth
     /// (EngineAdmission). Without this factor, replicas that refused callers had a measured load of 0.66.
-    static constexpr double meanMemoryUse = 0.75;
+    static constexpr double meanMemoryUtilization = 0.75;
     /// The assumed progress of a running answer: exact if all answers have the same length, and close for current workloads.
     static constexpr double assumedProgress = 0.5;
     /// Factor applied to the sums with each answer that ends, so that about the last fifty answers count.
--- a/src/request/engine/MemoryForecast.cpp
+++ b/src/request/engine/MemoryForecast.cpp
@@ -22,11 +22,11 @@
 
     /// The most tokens that an answer can plausibly still generate. A caller's upper limit can be far beyond any real answer: points spread
     /// over all of it would be so far apart that the peak, which is near, would fall between two of them.
-    std::uint32_t maxRemaining(const MemoryUse& use)
+    std::uint32_t maxRemaining(const MemoryUsage& usage)
     {
-        auto plausible = std::max<std::uint64_t>(maxLengthFactor * use.expected, 2ull * use.generated);
-        auto limit = std::min<std::uint64_t>(use.maxTokens, plausible);
-        return static_cast<std::uint32_t>(limit - std::min<std::uint64_t>(limit, use.generated));
+        auto plausible = std::max<std::uint64_t>(maxLengthFactor * usage.expected, 2ull * usage.generated);
+        auto limit = std::min<std::uint64_t>(usage.maxTokens, plausible);
+        return static_cast<std::uint32_t>(limit - std::min<std::uint64_t>(limit, usage.generated));
     }
 
     std::array<ForecastPoint, pointCount> pointsUntil(std::uint32_t horizon)
@@ -39,28 +39,28 @@
         return list;
     }
 
-    void add(ForecastPoint& point, const MemoryUse& use, const AnswerLengths& lengths)
+    void add(ForecastPoint& point, const MemoryUsage& usage, const AnswerLengths& lengths)
     {
-        if (point.steps > maxRemaining(use))
+        if (point.steps > maxRemaining(usage))
             return;
-        auto length = use.generated + point.steps;
-        double tokens = use.promptTokens + length;
-        auto probability = lengths.survival(use.expected, use.generated, length);
+        auto length = usage.generated + point.steps;
+        double tokens = usage.promptTokens + length;
+        auto probability = lengths.survival(usage.expected, usage.generated, length);
         point.mean += probability * tokens;
         point.variance += probability * (1 - probability) * tokens * tokens;
     }
 
 } // namespace
 
-double forecastPeak(std::span<const MemoryUse> uses, const AnswerLengths& lengths, double deviations)
+double forecastPeak(std::span<const MemoryUsage> usages, const AnswerLengths& lengths, double deviations)
 {
     std::uint32_t horizon = 0;
-    for (const auto& use : uses)
-        horizon = std::max(horizon, maxRemaining(use));
+    for (const auto& usage : usages)
+        horizon = std::max(horizon, maxRemaining(usage));
     double peak = 0;
     for (auto& point : pointsUntil(horizon)) {
-        for (const auto& use : uses)
-            add(point, use, lengths);
+        for (const auto& usage : usages)
+            add(point, usage, lengths);
         peak = std::max(peak, point.mean + deviations * std::sqrt(point.variance));
     }
     return peak;
--- a/src/request/engine/MemoryForecast.h
+++ b/src/request/engine/MemoryForecast.h
@@ -20,7 +20,7 @@
 namespace wrenhinge {
 
 /// The memory use of an answer that is running at an engine or is to be admitted.
-struct MemoryUse {
+struct MemoryUsage {
     std::uint32_t promptTokens = 0;
     std::uint32_t generated = 0; ///< Tokens generated so far.
     std::uint32_t expected = 0; ///< Length of the whole answer that its caller expects.
@@ -28,6 +28,6 @@
 };
 
 /// The forecast of the most tokens that these answers will occupy together.
-double forecastPeak(std::span<const MemoryUse>, const AnswerLengths&, double deviations);
+double forecastPeak(std::span<const MemoryUsage>, const AnswerLengths&, double deviations);
 
 } // namespace wrenhinge
--- a/src/request/fleet/AccountQuotas.cpp
+++ b/src/request/fleet/AccountQuotas.cpp
@@ -69,8 +69,8 @@
     // Another controller's totals contain the same usage again.
     if (controller != m_totalsSource)
         return;
-    m_gatewaysSeen = totals.gateways;
-    m_gatewaysSeenAt = now;
+    m_knownGateways = totals.gateways;
+    m_knownGatewaysAt = now;
     if (totals.isComplete) {
         m_knowsBusyAccounts = true;
         std::set<AccountId> received;
@@ -126,9 +126,9 @@
 }
 
 /// Tells controllers that have just started how many gateways there were, so that they reserve shares for those that don't connect.
-GatewayCounts AccountQuotas::gatewaysSeen(Instant now) const
+GatewayCounts AccountQuotas::knownGateways(Instant now) const
 {
-    auto seen = now - m_gatewaysSeenAt <= gatewaysSeenLifetime ? m_gatewaysSeen : GatewayCounts();
+    auto seen = now - m_knownGatewaysAt <= knownGatewaysLifetime ? m_knownGateways : GatewayCounts();
     if (m_gateways != SharedRetryBudget::assumedGateways)
         seen.all = std::max(seen.all, m_gateways);
     return seen;
@@ -139,7 +139,7 @@
     if (m_accounts.empty() || m_reportAt > now)
         return std::nullopt;
     chooseTotalsSource(now);
-    Report report { {}, m_totalsSource, !m_knowsBusyAccounts, gatewaysSeen(now) };
+    Report report { {}, m_totalsSource, !m_knowsBusyAccounts, knownGateways(now) };
     bool isFullReport = now - m_reportedAt >= reportInterval;
     if (isFullReport)
         m_reportedAt = now;
--- a/src/request/fleet/AccountQuotas.h
+++ b/src/request/fleet/AccountQuotas.h
@@ -24,7 +24,7 @@
     /// Delay of a report once usage exceeds `AccountQuota::reportThreshold` or a total is needed.
     static constexpr Duration promptReportDelay = 20ms;
     /// For this long, the last received count of gateways, and of unreachable ones, is sent to controllers that start.
-    static constexpr Duration gatewaysSeenLifetime = 60s;
+    static constexpr Duration knownGatewaysLifetime = 60s;
 
     /// \param gateway the name of this gateway.
     explicit AccountQuotas(QuotaSettings settings = {}, std::string gateway = {})
@@ -63,7 +63,7 @@
 private:
     AccountQuota* find(const std::string& account, Instant now);
     void chooseTotalsSource(Instant now);
-    [[nodiscard]] GatewayCounts gatewaysSeen(Instant now) const;
+    [[nodiscard]] GatewayCounts knownGateways(Instant now) const;
     void capUnreported(Instant now);
 
     QuotaSettings m_settings;
@@ -76,8 +76,8 @@
     std::map<PeerId, Instant> m_lastHeardAt; ///< By controller.
     std::optional<PeerId> m_totalsSource;
     bool m_knowsBusyAccounts = false; ///< A controller has sent all busy accounts since contact began.
-    GatewayCounts m_gatewaysSeen; ///< By `m_totalsSource`, received at `m_gatewaysSeenAt`.
-    Instant m_gatewaysSeenAt;
+    GatewayCounts m_knownGateways; ///< As counted by `m_totalsSource`, received at `m_knownGatewaysAt`.
+    Instant m_knownGatewaysAt;
     std::optional<PeerId> m_previousSource; ///< It stopped sending totals of a busy account, and is chosen only if there is no other.
     Instant m_reportAt = Instant::max();
     Instant m_reportedAt;
--- a/src/request/fleet/InheritedReserve.cpp
+++ b/src/request/fleet/InheritedReserve.cpp
@@ -10,8 +10,8 @@
         m_firstReportAt = now;
     if (now - *m_firstReportAt > learningPeriod)
         return;
-    m_gatewaysSeen.all = std::max(m_gatewaysSeen.all, report.knownGateways.all);
-    m_gatewaysSeen.unreachable = std::max(m_gatewaysSeen.unreachable, report.knownGateways.unreachable);
+    m_knownGateways.all = std::max(m_knownGateways.all, report.knownGateways.all);
+    m_knownGateways.unreachable = std::max(m_knownGateways.unreachable, report.knownGateways.unreachable);
     for (const auto& use : report.uses) {
         auto& perSecond = m_perSecond[use.account];
         perSecond = std::max(perSecond, use.reservedPerSecond);
@@ -20,14 +20,14 @@
 
 double InheritedReserve::perSecond(AccountId account, double limit, std::uint32_t gateways, Instant now) const
 {
-    if (m_gatewaysSeen.all <= gateways || now - *m_firstReportAt > m_reservationPeriod)
+    if (m_knownGateways.all <= gateways || now - *m_firstReportAt > m_reservationPeriod)
         return 0;
-    auto missing = m_gatewaysSeen.all - gateways;
-    auto evenShare = now - *m_firstReportAt > missingAfter ? limit * missing / m_gatewaysSeen.all : 0;
+    auto missing = m_knownGateways.all - gateways;
+    auto evenShare = now - *m_firstReportAt > missingAfter ? limit * missing / m_knownGateways.all : 0;
     auto it = m_perSecond.find(account);
-    if (it == m_perSecond.end() || m_gatewaysSeen.unreachable == 0)
+    if (it == m_perSecond.end() || m_knownGateways.unreachable == 0)
         return evenShare;
-    return std::max(evenShare, it->second * std::min(missing, m_gatewaysSeen.unreachable) / m_gatewaysSeen.unreachable);
+    return std::max(evenShare, it->second * std::min(missing, m_knownGateways.unreachable) / m_knownGateways.unreachable);
 }
 
 } // namespace wrenhinge
--- a/src/request/fleet/InheritedReserve.h
+++ b/src/request/fleet/InheritedReserve.h
@@ -37,7 +37,7 @@
 
     Duration m_reservationPeriod;
     std::optional<Instant> m_firstReportAt; ///< When the first report arrived.
-    GatewayCounts m_gatewaysSeen;
+    GatewayCounts m_knownGateways;
     std::unordered_map<AccountId, double> m_perSecond;
 };
 
--- a/src/request/fleet/QuotaAggregator.cpp
+++ b/src/request/fleet/QuotaAggregator.cpp
@@ -49,7 +49,10 @@
     return static_cast<std::uint32_t>(m_gateways.size()) + static_cast<std::uint32_t>(unconnected);
 }
 
-GatewayCounts QuotaAggregator::gatewaysSeen() const { return { gatewayCount(), static_cast<std::uint32_t>(m_unreachableGateways.size()) }; }
+GatewayCounts QuotaAggregator::knownGateways() const
+{
+    return { gatewayCount(), static_cast<std::uint32_t>(m_unreachableGateways.size()) };
+}
 
 void QuotaAggregator::take(PeerId from, const QuotaReport& report, Instant now)
 {
@@ -156,7 +159,7 @@
 
 QuotaTotals QuotaAggregator::totalsFor(Gateway& gateway, Instant now)
 {
-    QuotaTotals totals { {}, std::exchange(gateway.asksForAll, false), gatewaysSeen() };
+    QuotaTotals totals { {}, std::exchange(gateway.asksForAll, false), knownGateways() };
     std::erase_if(gateway.requested, [&](AccountId id) { return now - gateway.usages[id].requestedAt > busyHoldTime; });
     for (auto id : m_broadcastAccounts)
         totals.totals.push_back(totalFor(id, m_accounts[id], gateway.usages[id], now));
--- a/src/request/fleet/QuotaAggregator.h
+++ b/src/request/fleet/QuotaAggregator.h
@@ -102,7 +102,7 @@
     void takeSnapshot(Instant now);
     [[nodiscard]] double reserved(AccountId, const Account&, Instant now) const;
     [[nodiscard]] std::uint32_t gatewayCount() const;
-    [[nodiscard]] GatewayCounts gatewaysSeen() const;
+    [[nodiscard]] GatewayCounts knownGateways() const;
     void updateBusyState(Instant now);
     [[nodiscard]] bool knowsBusyAccounts(Instant now) const;
     [[nodiscard]] QuotaTotals totalsFor(Gateway&, Instant now);
--- a/test/correctness/AdmissionTest.cpp
+++ b/test/correctness/AdmissionTest.cpp
@@ -116,7 +116,7 @@
 TEST_CASE("the joint peak of answers that start at different times is below the sum of their peaks")
 {
     AnswerLengths lengths;
-    std::vector<MemoryUse> uses;
+    std::vector<MemoryUsage> uses;
     std::uint64_t sumOfPeaks = 0;
     for (std::uint32_t i = 0; i < 9; ++i) {
         uses.push_back({ 5100, i * 600, 5400, 10000 });
--- a/test/correctness/StageTest.cpp
+++ b/test/correctness/StageTest.cpp
@@ -216,7 +216,7 @@
     }
     REQUIRE(report.services.contains("llm"));
     CHECK(report.services.at("llm").prefill == doctest::Approx(1.0).epsilon(0.05));
-    CHECK(report.services.at("llm").decode == doctest::Approx(3.0 / EngineLoad::meanMemoryUse).epsilon(0.1));
+    CHECK(report.services.at("llm").decode == doctest::Approx(3.0 / EngineLoad::meanMemoryUtilization).epsilon(0.1));
     CHECK(report.services.at("llm").stageChange == 6s);
     CHECK(load.take(now + 1s).services.empty());
 }
@@ -245,7 +245,7 @@
     // Ten requests a second occupy the memory of five replicas.
     auto report = load.take(now);
     REQUIRE(report.services.contains("llm"));
-    CHECK(report.services.at("llm").decode == doctest::Approx(5 / EngineLoad::meanMemoryUse).epsilon(0.3));
+    CHECK(report.services.at("llm").decode == doctest::Approx(5 / EngineLoad::meanMemoryUtilization).epsilon(0.3));
 }
 
 TEST_CASE("an order contains the engine, a fencing token and the count of accepted orders, and gateways stop using the engine")
