--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -222,7 +222,7 @@
 
     void carryDocument(document::Effect& effect)
     {
-        if (auto* ask = std::get_if<document::Ask>(&effect))
+        if (auto* ask = std::get_if<document::SendRequest>(&effect))
             m_hub.send(ask->to, ask->request);
         else if (auto* take = std::get_if<document::Install>(&effect))
             onDocument(*take);
--- a/src/process/GatewayRole.cpp
+++ b/src/process/GatewayRole.cpp
@@ -46,7 +46,7 @@
           { [this](const RequestId& id, CallerRequest caller) {
                m_driver.post(gateway::Submit { id, std::move(caller) });
            },
-              [this](const RequestId& id) { m_driver.post(gateway::CallerGone { id }); } })
+              [this](const RequestId& id) { m_driver.post(gateway::CallerDisconnected { id }); } })
     , m_driver(
           runtime.timers(), [this](gateway::Effect& effect) { carry(effect); }, gateway::Tick {}, randomIdentity())
     , m_pages(settings, runtime, { [this] { return isReady(); }, [this] { return m_hub.peers(); } })
--- a/src/request/engine/EngineLoad.cpp
+++ b/src/request/engine/EngineLoad.cpp
@@ -5,10 +5,10 @@
 namespace wrenhinge {
 
 void EngineLoad::admit(
-    const std::string& name, const EngineProperties& facts, std::uint32_t promptTokens, std::uint32_t tokens, Instant now)
+    const std::string& name, const EngineProperties& properties, std::uint32_t promptTokens, std::uint32_t tokens, Instant now)
 {
     auto& service = m_services[name];
-    service.facts = facts;
+    service.properties = properties;
     ++service.running;
     service.admittedSum += now.time_since_epoch();
     ++service.requests;
@@ -56,12 +56,12 @@
         bool isKnown = service.secondsPerToken > 0 && service.answers >= minAnswers;
         if (isKnown && service.requests) {
             auto ofMemory = static_cast<double>(service.tokens)
-                / (meanMemoryUtilization * static_cast<double>(std::max<std::uint64_t>(1, service.facts.cacheTokens)));
-            auto ofSlots = static_cast<double>(service.requests) / std::max(1u, service.facts.slots);
+                / (meanMemoryUtilization * static_cast<double>(std::max<std::uint64_t>(1, service.properties.cacheTokens)));
+            auto ofSlots = static_cast<double>(service.requests) / std::max(1u, service.properties.slots);
             auto& busy = report.services[name];
             busy.prefill = static_cast<double>(service.promptTokens) * service.secondsPerToken / seconds;
             busy.decode = std::max(ofMemory, ofSlots) * meanHold(service, now) / seconds;
-            busy.stageChange = service.facts.stageChange;
+            busy.stageChange = service.properties.stageChange;
         }
         service.requests = service.promptTokens = service.tokens = 0;
     }
--- a/src/request/engine/EngineLoad.h
+++ b/src/request/engine/EngineLoad.h
@@ -45,7 +45,7 @@
 
 private:
     struct Service {
-        EngineProperties facts;
+        EngineProperties properties;
         double secondsPerToken = 0; ///< Of the fastest prefill.
         double endedSeconds = 0; ///< Total time of ended requests, whatever their outcome.
         double answers = 0; ///< How many of these were served.
--- a/src/request/sidecar/GatewayEvents.h
+++ b/src/request/sidecar/GatewayEvents.h
@@ -56,13 +56,13 @@
         RequestId request;
         CallerRequest caller;
     };
-    struct CallerGone {
+    struct CallerDisconnected {
         RequestId request;
     };
     struct Drain { };
     struct Tick { };
 
-    using Event = std::variant<PeerUp, PeerDown, PeerMessage, Submit, CallerGone, Drain, Tick>;
+    using Event = std::variant<PeerUp, PeerDown, PeerMessage, Submit, CallerDisconnected, Drain, Tick>;
 
     // Effects.
     struct Send {
--- a/src/request/sidecar/GatewayLogic.cpp
+++ b/src/request/sidecar/GatewayLogic.cpp
@@ -121,7 +121,7 @@
     m_context.effects.push_back(gateway::AnswerError { id, std::move(error) });
 }
 
-void GatewayLogic::on(const gateway::CallerGone& event, Instant now)
+void GatewayLogic::on(const gateway::CallerDisconnected& event, Instant now)
 {
     auto it = m_context.requests.find(event.request);
     if (it == m_context.requests.end())
--- a/src/request/sidecar/GatewayLogic.h
+++ b/src/request/sidecar/GatewayLogic.h
@@ -33,7 +33,7 @@
     void on(const gateway::PeerDown&, Instant);
     void on(const gateway::PeerMessage&, Instant);
     void on(const gateway::Submit&, Instant);
-    void on(const gateway::CallerGone&, Instant);
+    void on(const gateway::CallerDisconnected&, Instant);
     void on(const gateway::Drain&, Instant);
     void on(const gateway::Tick&, Instant);
 
--- a/src/version/DocumentFollower.cpp
+++ b/src/version/DocumentFollower.cpp
@@ -146,7 +146,7 @@
 void DocumentFollower::ask(PeerId to, DocumentRequest request, Instant now)
 {
     m_transfer->askedAt = now;
-    m_effects.push_back(Ask { to, request });
+    m_effects.push_back(SendRequest { to, request });
 }
 
 } // namespace wrenhinge
--- a/src/version/DocumentFollower.h
+++ b/src/version/DocumentFollower.h
@@ -37,7 +37,7 @@
 
     // Effects.
     /// Sends a request to a controller.
-    struct Ask {
+    struct SendRequest {
         PeerId to;
         DocumentRequest request;
     };
@@ -51,7 +51,7 @@
     struct Confirm {
         std::uint64_t version = 0;
     };
-    using Effect = std::variant<Ask, Install, Confirm, LogEvent>;
+    using Effect = std::variant<SendRequest, Install, Confirm, LogEvent>;
 
 } // namespace document
 
--- a/test/correctness/DocumentTest.cpp
+++ b/test/correctness/DocumentTest.cpp
@@ -89,7 +89,7 @@
     void step(const document::Event& event)
     {
         for (auto& effect : follower.step(event, now)) {
-            if (auto* ask = std::get_if<document::Ask>(&effect))
+            if (auto* ask = std::get_if<document::SendRequest>(&effect))
                 m_requests.push_back(*ask);
             else if (auto* install = std::get_if<document::Install>(&effect))
                 installed.push_back(*install);
@@ -116,7 +116,7 @@
         bool isUnresponsive = false;
     };
     std::vector<Controller> m_controllers;
-    std::deque<document::Ask> m_requests;
+    std::deque<document::SendRequest> m_requests;
 };
 
 } // namespace
@@ -280,7 +280,7 @@
     auto step = [&](const document::Event& event) {
         for (auto& effect : follower.step(event, now)) {
             isInstalled = isInstalled || std::holds_alternative<document::Install>(effect);
-            const auto* ask = std::get_if<document::Ask>(&effect);
+            const auto* ask = std::get_if<document::SendRequest>(&effect);
             if (!ask)
                 continue;
             auto part = sources[ask->to.value() - 1].answer(ask->request, history, now);
--- a/test/support/World.cpp
+++ b/test/support/World.cpp
@@ -518,7 +518,7 @@
         return;
     outcome.hasLeft = true;
     if (m_requests.contains(label))
-        deliver(m_gatewayOf.at(label), [this, id = m_requests.at(label)](Node& n) { stepGateway(n, gateway::CallerGone { id }); });
+        deliver(m_gatewayOf.at(label), [this, id = m_requests.at(label)](Node& n) { stepGateway(n, gateway::CallerDisconnected { id }); });
 }
 
 void World::configure(const std::string& label, const std::string& controller, ConfigCommand command)
