--- a/src/process/ForwardRole.h
+++ b/src/process/ForwardRole.h
@@ -224,7 +224,7 @@
 
     void executeDocumentEffect(document::Effect& effect)
     {
-        if (auto* request = std::get_if<document::Ask>(&effect))
+        if (auto* request = std::get_if<document::SendRequest>(&effect))
             m_hub.send(request->to, request->request);
         else if (auto* install = std::get_if<document::Install>(&effect))
             onDocument(*install);
